--- a/eslint.config.js
+++ b/eslint.config.js
@@ -11,8 +11,11 @@
   ["membership", "jobs"],
   ["workers"],
   ["placement"],
+  ["shards"],
   ["autoscaling"],
   ["http"],
+  ["controller"],
+  ["cli"],
 ];
 
 const importDirections = LAYERS.flatMap((layer, level) =>
--- a/src/autoscaling/demand-record.ts
+++ b/src/autoscaling/demand-record.ts
@@ -3,8 +3,8 @@
  * controllers must not keep a shard from getting machines.
  */
 import * as z from "zod";
-import type { Demand, MachineSummary, Summary } from "../peers/messages.js";
-import type { MachineRecord } from "../workers/records.js";
+import type { Demand, MachineSummary, ShardSummary } from "../peers/messages.js";
+import type { MachineRecord } from "../workers/machine-records.js";
 
 const demandSchema = z.object({
   cpus: z.number(),
@@ -33,7 +33,7 @@
  * Nothing in the record grows with the number of machines: which of them have not spoken yet is in their own records.
  * Demand past what one value holds is left out, the least urgent first: it is told again once the rest has machines.
  */
-export function toDemandRecord({ token, recovered, demand }: Summary, valueBytes: number): DemandRecord {
+export function toDemandRecord({ token, recovered, demand }: ShardSummary, valueBytes: number): DemandRecord {
   const kept: Demand[] = [];
   let bytes = HEAD_BYTES;
   for (const group of demand) {
@@ -51,11 +51,11 @@
 export function fromDemandRecord(
   shard: number,
   value: unknown,
-  machines: Iterable<[string, Pick<MachineRecord, "up">]>,
-): Summary | null {
+  machines: Iterable<[string, Pick<MachineRecord, "hasReported">]>,
+): ShardSummary | null {
   const record = recordSchema.safeParse(value).data;
   if (record === undefined) return null;
-  const summaries = Array.from(machines, ([host, { up }]): MachineSummary => ({
+  const summaries = Array.from(machines, ([host, { hasReported: up }]): MachineSummary => ({
     host,
     state: up ? "busy" : "booting",
     forMs: 0,
--- a/src/autoscaling/listing.ts
+++ b/src/autoscaling/machine-listing.ts
@@ -6,7 +6,7 @@
  * list is put together over several passes; a machine is missing only if whole lists have gone without it for longer
  * than a list may be old, since one page may be older than another.
  */
-export class Listing {
+export class MachineListing {
   private pages: ListedMachine[] = [];
   private startedAt: number | null = null;
   /** Hosts that a list has shown, and when a list first missed them again. */
@@ -15,9 +15,9 @@
   constructor(private readonly lagMs: number) {}
 
   /** Whether a list has been begun that is still worth going on with. */
-  underWay(now: number): boolean {
+  isInProgress(now: number): boolean {
     // Guards against joining pages from before and after an outage of the cloud.
-    if (this.startedAt !== null && now - this.startedAt > 2 * this.lagMs) this.drop();
+    if (this.startedAt !== null && now - this.startedAt > 2 * this.lagMs) this.reset();
     return this.startedAt !== null;
   }
 
@@ -27,12 +27,12 @@
   }
 
   /** Takes in the next page; the whole list if it was the last one. */
-  take(machines: ListedMachine[], more: boolean, now: number): ListedMachine[] | null {
+  addPage(machines: ListedMachine[], more: boolean, now: number): ListedMachine[] | null {
     this.startedAt ??= now;
     this.pages.push(...machines);
     if (more && machines.length > 0) return null;
     const all = this.pages;
-    this.drop();
+    this.reset();
     return all;
   }
 
@@ -53,7 +53,7 @@
     return gone;
   }
 
-  private drop(): void {
+  private reset(): void {
     this.pages = [];
     this.startedAt = null;
   }
--- a/src/autoscaling/unregistered-machines.ts
+++ b/src/autoscaling/unregistered-machines.ts
@@ -1,6 +1,6 @@
 /** Machines that report although no record names them, until it is sure enough that they are there. */
 import { LRUCache } from "lru-cache";
-import type { WorkerReport } from "../wire/index.js";
+import type { Heartbeat } from "../wire/index.js";
 
 /**
  * Guards against registering a machine that has been returned: copies of its reports may come late. A machine is
@@ -18,8 +18,8 @@
   }
 
   /** Whether the machine is to be registered. */
-  hear(report: Pick<WorkerReport, "host" | "session" | "seq">, now: number): boolean {
-    const { host, session, seq } = report;
+  confirm(report: Pick<Heartbeat, "host" | "epoch" | "sequence">, now: number): boolean {
+    const { host, epoch: session, sequence: seq } = report;
     const first = this.first.get(host);
     if (first === undefined) {
       this.first.set(host, { session, seq, at: now });
--- a/src/link-report.ts
+++ b/src/cli/link-report.ts
@@ -1,13 +1,13 @@
 /** The `links` subcommand: asks every controller that it reaches for its links, and prints them. */
-import type { Settings } from "./config/settings.js";
+import type { Settings } from "../config/settings.js";
 import {
   hasLostLink,
   parseLinkStatus,
   restrictionLines,
   statusRows,
   type LinkStatus,
-} from "./links/status.js";
-import type { PeerNetwork } from "./peers/network.js";
+} from "../links/status.js";
+import type { PeerNetwork } from "../peers/network.js";
 
 /** What a controller answered, or null where it did not. */
 export interface NodeReport {
@@ -30,15 +30,15 @@
 /** Asks the controller that the settings are for, and all that they name. */
 export async function collectLinkReports(
   settings: Pick<Settings, "node" | "peers">,
-  network: Pick<PeerNetwork, "ask">,
+  network: Pick<PeerNetwork, "request">,
 ): Promise<NodeReport[]> {
   const nodes = [settings.node, ...settings.peers.map((peer) => peer.node)];
   return Promise.all(nodes.map((node) => askForLinks(node, network)));
 }
 
-async function askForLinks(node: string, network: Pick<PeerNetwork, "ask">): Promise<NodeReport> {
+async function askForLinks(node: string, network: Pick<PeerNetwork, "request">): Promise<NodeReport> {
   try {
-    const reply = await network.ask(node, { linkStatus: {} });
+    const reply = await network.request(node, { linkStatus: {} });
     return { node, status: "linkReport" in reply ? parseLinkStatus(reply.linkReport.json) : null };
   } catch {
     return { node, status: null };
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,7 +1,7 @@
 /** The operators' own settings, in HCL: caps and the figures of the design that are open to tuning. */
 import * as z from "zod";
 import { linkSettingsSchema } from "../links/settings.js";
-import { check } from "../wire/index.js";
+import { parseWith } from "../wire/index.js";
 import { readText, SettingsError } from "./settings.js";
 
 const schema = z
@@ -36,7 +36,7 @@
 
 /** Checks what was read from the file; throws SettingsError with the name of the first wrong field. */
 export function checkOperatorSettings(raw: unknown): OperatorSettings {
-  const result = check(schema, raw);
+  const result = parseWith(schema, raw);
   if (!result.ok) throw new SettingsError(result.error);
   return result.value;
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
 import * as z from "zod";
-import { check } from "../wire/index.js";
+import { parseWith } from "../wire/index.js";
 
 /** Settings that cannot be used; the message names the field. */
 export class SettingsError extends Error {}
@@ -101,7 +101,7 @@
   } catch (err) {
     throw new SettingsError(`not TOML: ${(err as Error).message.split("\n")[0]}`);
   }
-  const result = check(schema, raw);
+  const result = parseWith(schema, raw);
   if (!result.ok) throw new SettingsError(result.error);
   return result.value;
 }
--- a/src/controller.ts
+++ b/src/controller/controller.ts
@@ -1,51 +1,51 @@
 /** One controller: makes the actors and connects them. */
 import { pipeline } from "node:stream";
-import { CloudClient } from "./cloud/client.js";
-import type { OperatorSettings } from "./config/operator.js";
-import type { Settings } from "./config/settings.js";
-import { dependenciesOf, type Dependencies } from "./dependencies.js";
-import { answerPeerRequest, NOTHING } from "./peer-requests.js";
+import { CloudClient } from "../cloud/cloud-client.js";
+import type { OperatorSettings } from "../config/operator.js";
+import type { Settings } from "../config/settings.js";
+import { createDependencies, type ControllerDependencies } from "./dependencies.js";
+import { handlePeerRequest, EMPTY_REPLY } from "./peer-request-handler.js";
 import { deriveTimings, type Timings } from "./timings.js";
-import type { AppParts } from "./http/app.js";
-import { Relay } from "./http/relay.js";
-import { serve } from "./http/server.js";
-import { JobRequestHandler, type UserAnswer, type UserRequest } from "./http/users.js";
-import { ShardAssignment } from "./jobs/shard-assignment.js";
-import { JobService } from "./jobs/service.js";
-import { Membership } from "./membership/membership.js";
-import type { PeerReply, PeerRequest } from "./peers/messages.js";
-import type { PeerNetwork, ViewExchange } from "./peers/network.js";
-import { DecisionMetrics } from "./placement/decision-metrics.js";
+import type { HttpDependencies } from "../http/app.js";
+import { RequestForwarder } from "../http/request-forwarder.js";
+import { serve } from "../http/server.js";
+import { JobRequestHandler, type UserResponse, type UserRequest } from "../http/user-requests.js";
+import { ShardAssignment } from "../jobs/shard-assignment.js";
+import { JobService } from "../jobs/job-service.js";
+import { Membership } from "../membership/membership.js";
+import type { PeerReply, PeerRequest } from "../peers/messages.js";
+import type { PeerNetwork, LinkViewExchange } from "../peers/network.js";
+import { DecisionMetrics } from "../shards/decision-metrics.js";
 import { ShardHost } from "./shard-host.js";
 import { LinkMonitoring } from "./link-monitoring.js";
-import type { SteadyClock } from "./runtime/clock.js";
-import { parseJson } from "./runtime/http-client.js";
-import type { Logger } from "./runtime/log.js";
-import { ReportRouter } from "./report-router.js";
+import type { SteadyClock } from "../runtime/clock.js";
+import { parseJson } from "../runtime/json-client.js";
+import type { Logger } from "../runtime/log.js";
+import { HeartbeatRouter } from "./heartbeat-router.js";
 import { SummaryExchange } from "./summary-exchange.js";
-import { Autoscaler } from "./autoscaling/autoscaler.js";
-import { StateClient } from "./state/client.js";
-import { changeFeed } from "./state/feed.js";
-import { Freshness } from "./state/freshness.js";
-import { LIVE, ROOT, keys, prefixes } from "./state/keys.js";
-import { Replica } from "./state/replica.js";
-import { REPORT_TIMEOUT_S, type Change, type MachineType } from "./wire/index.js";
-import { Fleet } from "./workers/fleet.js";
+import { Autoscaler } from "../autoscaling/autoscaler.js";
+import { StateStoreClient } from "../state/state-store-client.js";
+import { watchRecords } from "../state/watch.js";
+import { ReadBarrier } from "../state/read-barrier.js";
+import { LIVE_PREFIX, ROOT_PREFIX, keys, prefixes } from "../state/keys.js";
+import { Replica } from "../state/replica.js";
+import { HEARTBEAT_TIMEOUT_S, type RecordChange, type MachineType } from "../wire/index.js";
+import { Fleet } from "../workers/fleet.js";
 
 /** A controller that listens. */
-export interface Running {
+export interface RunningController {
   port: number;
   peerPort: number;
   close(): void;
 }
 
-const concernsMembership = (key: string): boolean =>
+const isMembershipKey = (key: string): boolean =>
   key === keys.leader || key.startsWith(prefixes.members) || key.startsWith(prefixes.shards);
 
 /** One controller process: owns the actors, passes on what the records and peers say, and routes requests. */
 export class Controller {
   private readonly replica = new Replica();
-  private readonly state: StateClient;
+  private readonly state: StateStoreClient;
   private readonly membership: Membership;
   private readonly fleet: Fleet;
   private readonly autoscaler: Autoscaler;
@@ -53,8 +53,8 @@
   readonly clock: SteadyClock;
   private readonly jobs: JobService;
   private readonly requestHandler: JobRequestHandler;
-  private readonly relay: Relay;
-  private readonly router: ReportRouter;
+  private readonly relay: RequestForwarder;
+  private readonly router: HeartbeatRouter;
   private readonly summaries: SummaryExchange;
   private readonly shardAssignment: ShardAssignment;
   private readonly shards: ShardHost;
@@ -63,7 +63,7 @@
   /** This life of the controller, told from earlier ones. */
   private readonly incarnation = crypto.randomUUID();
   private lastPing = -Infinity;
-  private readonly figures: Timings;
+  private readonly timings: Timings;
   private typesByName = new Map<string, MachineType>();
   private ticker: NodeJS.Timeout | null = null;
 
@@ -71,17 +71,17 @@
     private readonly settings: Settings,
     private readonly operator: OperatorSettings,
     private readonly log: Logger,
-    network: Dependencies = dependenciesOf(settings, log),
+    network: ControllerDependencies = createDependencies(settings, log),
   ) {
     const { clock } = network;
-    const figures = (this.figures = deriveTimings(settings, operator));
+    const figures = (this.timings = deriveTimings(settings, operator));
     this.links = new LinkMonitoring(settings, operator, figures, this.incarnation, network, log);
     const around = this.links.watch(network);
     this.clock = clock;
     this.peers = around.peers;
     this.fleet = new Fleet(log);
     this.shardAssignment = new ShardAssignment(settings.teams, settings.controllers);
-    this.state = new StateClient(
+    this.state = new StateStoreClient(
       around.state,
       around.watches,
       settings.state,
@@ -94,7 +94,7 @@
       settings.cloud.rps,
       clock,
       // A call to the cloud takes a good part of a second; a lost one is sent again under the same name.
-      REPORT_TIMEOUT_S * 1000,
+      HEARTBEAT_TIMEOUT_S * 1000,
     );
     this.membership = this.makeMembership();
     this.shards = this.makeShardHost();
@@ -106,7 +106,7 @@
     this.router = this.makeRouter();
     this.summaries = this.makeSummaryExchange();
     this.replica.onChange((changes) => {
-      this.follow(changes);
+      this.applyChanges(changes);
     });
   }
 
@@ -115,32 +115,32 @@
       { node: this.settings.node, incarnation: this.incarnation },
       this.settings.controllers,
       this.settings.controllers,
-      this.figures,
+      this.timings,
       this.state,
       this.replica,
       this.clock,
       {
-        ownership: () => {
-          this.shards.followOwnership();
+        onOwnershipChanged: () => {
+          this.shards.reconcileOwnership();
         },
-        askHandOver: (owner, shard, to) =>
-          void this.askNode(owner, { handOver: { shard, to } }).catch(() => undefined),
-        unsuited: (node) => this.links.policy.cannotHearWorkers(node),
+        requestHandOver: (owner, shard, to) =>
+          void this.requestController(owner, { handOver: { shard, to } }).catch(() => undefined),
+        isCutOffFromWorkers: (node) => this.links.policy.cannotHearWorkers(node),
       },
       this.log,
     );
   }
 
-  private makeRouter(): ReportRouter {
-    return new ReportRouter({
+  private makeRouter(): HeartbeatRouter {
+    return new HeartbeatRouter({
       node: this.settings.node,
       fleet: this.fleet,
       membership: this.membership,
       autoscaler: this.autoscaler,
       ownerOf: (shard) => this.shards.ownerOf(shard),
-      askNode: (node, request) => this.askNode(node, request),
+      askNode: (node, request) => this.requestController(node, request),
       clock: this.clock,
-      misroutedSpacingMs: this.figures.misroutedSpacingMs,
+      misroutedSpacingMs: this.timings.misroutedSpacingMs,
       maxMachines: this.operator.maxMachines,
       links: this.links,
     });
@@ -151,17 +151,17 @@
       assignment: this.shardAssignment,
       state: this.state,
       leader: () => this.membership.leader(),
-      askNode: (node, request) => this.askNode(node, request),
+      askNode: (node, request) => this.requestController(node, request),
       clock: this.clock,
       log: this.log,
       spacingMs: this.operator.passSpacingMs,
       valueBytes: this.settings.state.valueBytes,
-      queueTimeoutMs: this.figures.submitQueueTimeoutMs,
+      queueTimeoutMs: this.timings.submitQueueTimeoutMs,
     });
   }
 
   private makeShardHost(): ShardHost {
-    const { roundMs, preemptMs, quietTicks, staleMs } = this.figures;
+    const { roundMs, preemptMs, quietTicks, staleMs } = this.timings;
     return new ShardHost({
       settings: this.settings,
       timings: { roundMs, preemptMs, quietTicks, staleMs, spacingMs: this.operator.passSpacingMs },
@@ -191,7 +191,7 @@
       this.clock,
       {
         leadership: () => this.membership.leadership(),
-        askOwner: (shard, request) => this.askNode(this.membership.owner(shard), request),
+        requestOwner: (shard, request) => this.requestController(this.membership.owner(shard), request),
         mayCallCloud: () => this.links.policy.allows("order"),
       },
       this.log,
@@ -203,39 +203,39 @@
       this.settings,
       this.state,
       this.replica,
-      new Freshness(this.state, this.replica, this.figures.lookupTimeoutMs),
+      new ReadBarrier(this.state, this.replica, this.timings.lookupTimeoutMs),
       () => this.typesByName,
       this.shardAssignment,
-      (shard, job) => this.countsOf(shard, job),
+      (shard, job) => this.taskCounts(shard, job),
       (shard, job) => {
-        this.tellCancelled(shard, job);
+        this.notifyOwnerOfCancellation(shard, job);
       },
-      this.figures.submitQueueTimeoutMs,
+      this.timings.submitQueueTimeoutMs,
       this.log,
     );
   }
 
-  private makeRelay(): Relay {
-    return new Relay({
+  private makeRelay(): RequestForwarder {
+    return new RequestForwarder({
       own: this.requestHandler,
       peers: this.settings.peers.map((p) => p.node),
       ask: (peer, request) => this.forward(peer, request),
-      behind: () => this.behind() || !this.links.policy.allows("accept"),
+      behind: () => this.isBehind() || !this.links.policy.allows("accept"),
       nobodyCan: () => this.links.policy.refuses("accept"),
-      pauseMs: this.figures.peerMs,
+      pauseMs: this.timings.peerMs,
       clock: this.clock,
       log: this.log,
     });
   }
 
   /** What users, workers and health checks reach. */
-  get door(): AppParts {
+  get httpDependencies(): HttpDependencies {
     return {
       users: this.links.watchUsers(this.relay),
-      report: (report) => this.router.route(report),
-      healthy: () => {
+      routeHeartbeat: (report) => this.router.route(report),
+      isHealthy: () => {
         this.links.noteUserRequest();
-        return this.healthy();
+        return this.isHealthy();
       },
       linkStatus: () => this.links.status(),
       decisions: () => this.metrics.report(this.settings.node),
@@ -244,14 +244,20 @@
   }
 
   /** Follows the records and acts on them from now on; the answer ends that. */
-  begin(): () => void {
-    const { figures } = this;
+  followRecords(): () => void {
+    const { timings: figures } = this;
     const pace = {
       waitMs: figures.feedWaitMs,
       spacingMs: figures.feedSpacingMs,
       retryMs: figures.feedSpacingMs * 4,
     };
-    const feed = changeFeed(this.state, { whole: LIVE, followed: ROOT }, pace, this.clock, this.log);
+    const feed = watchRecords(
+      this.state,
+      { whole: LIVE_PREFIX, followed: ROOT_PREFIX },
+      pace,
+      this.clock,
+      this.log,
+    );
     pipeline(feed, this.replica, (err) => {
       if (err && this.ticker !== null) this.log.error({ err }, "the feed of records ended");
     });
@@ -267,10 +273,10 @@
     };
   }
 
-  async start(): Promise<Running> {
-    const end = this.begin();
+  async start(): Promise<RunningController> {
+    const end = this.followRecords();
     const peerPort = await this.peers.listen(this.settings.peerListen, (request) => this.answerPeer(request));
-    const server = await serve(this.door, this.settings.listen, this.figures.idleConnectionMs);
+    const server = await serve(this.httpDependencies, this.settings.listen, this.timings.idleConnectionMs);
     const { port } = server;
     this.log.info({ port, peerPort }, "listening");
     return {
@@ -284,24 +290,24 @@
   }
 
   /** Whether the records have not been followed for longer than a quiet watch stays open. */
-  private behind(): boolean {
-    return this.clock() - this.replica.asOf > this.figures.behindMs;
+  private isBehind(): boolean {
+    return this.clock() - this.replica.completeAsOf > this.timings.behindMs;
   }
 
   /**
    * A node that cannot follow the records stays up while peers answer it: either they answer its users' requests too,
    * or the state service is down for all and no node would do better. Cut off from both, it sends users elsewhere.
    */
-  private healthy(): boolean {
-    if (this.replica.asOf === -Infinity) return false;
-    if (!this.behind() || this.settings.peers.length === 0) return true;
-    return this.clock() - this.peers.heardAt < this.figures.behindMs;
+  private isHealthy(): boolean {
+    if (this.replica.completeAsOf === -Infinity) return false;
+    if (!this.isBehind() || this.settings.peers.length === 0) return true;
+    return this.clock() - this.peers.lastResponseAt < this.timings.behindMs;
   }
 
-  private async forward(peer: string, { method, path, body }: UserRequest): Promise<UserAnswer> {
+  private async forward(peer: string, { method, path, body }: UserRequest): Promise<UserResponse> {
     const text = body === undefined ? "" : JSON.stringify(body);
     const request = { forward: { method, path, body: text } };
-    const reply = await this.peers.ask(peer, request, this.figures.lookupTimeoutMs);
+    const reply = await this.peers.request(peer, request, this.timings.lookupTimeoutMs);
     if (!("answer" in reply)) return { status: 503, body: { error: "no answer" } };
     return { status: reply.answer.status, body: parseJson(reply.answer.body) ?? {} };
   }
@@ -311,47 +317,47 @@
     this.shards.tick();
     this.autoscaler.tell({ kind: "tick" });
     this.links.tick();
-    if (this.behind()) this.pingPeers();
+    if (this.isBehind()) this.pingPeers();
   }
 
   /** Whether this node is of any use without the records is for its peers' answers to show: see `healthy`. */
   private pingPeers(): void {
     const now = this.clock();
-    if (now - this.lastPing < this.figures.behindMs / 4) return;
+    if (now - this.lastPing < this.timings.behindMs / 4) return;
     this.lastPing = now;
-    for (const { node } of this.settings.peers) this.peers.ask(node, { ping: {} }).catch(() => undefined);
+    for (const { node } of this.settings.peers) this.peers.request(node, { ping: {} }).catch(() => undefined);
   }
 
-  private follow(changes: Change[] | null): void {
+  private applyChanges(changes: RecordChange[] | null): void {
     if (changes !== null) {
-      this.state.seen(changes.length);
-      this.jobs.follow(changes);
+      this.state.recordObservedWrites(changes.length);
+      this.jobs.applyChanges(changes);
     }
-    this.fleet.follow(this.replica, changes);
-    if (changes === null || changes.some((c) => c.key.startsWith(prefixes.types)))
+    this.fleet.applyChanges(this.replica, changes);
+    if (changes === null || changes.some((c) => c.key.startsWith(prefixes.machineTypes)))
       this.typesByName = new Map(
         this.replica
-          .under(prefixes.types)
+          .list(prefixes.machineTypes)
           .map((entry) => [(entry.value as MachineType).name, entry.value as MachineType]),
       );
-    this.shards.followRecords(changes);
-    if (changes === null || changes.some((c) => concernsMembership(c.key)))
-      this.membership.tell({ kind: "records" });
+    this.shards.applyChanges(changes);
+    if (changes === null || changes.some((c) => isMembershipKey(c.key)))
+      this.membership.tell({ kind: "records_changed" });
   }
 
   /** Where views of links come from and go to; null while the monitor is off. */
-  get viewExchange(): ViewExchange | null {
+  get viewExchange(): LinkViewExchange | null {
     return this.peers.viewExchange;
   }
 
-  private askNode(node: string | null, request: PeerRequest): Promise<PeerReply> {
+  private requestController(node: string | null, request: PeerRequest): Promise<PeerReply> {
     if (node === this.settings.node) return this.answerPeer(request);
-    return node === null ? Promise.resolve(NOTHING) : this.peers.ask(node, request);
+    return node === null ? Promise.resolve(EMPTY_REPLY) : this.peers.request(node, request);
   }
 
   /** Answers another controller's request, or one of this process itself. */
   answerPeer(request: PeerRequest): Promise<PeerReply> {
-    return answerPeerRequest(request, {
+    return handlePeerRequest(request, {
       autoscaler: this.autoscaler,
       membership: this.membership,
       users: this.requestHandler,
@@ -366,14 +372,16 @@
    * Guards against starts after a confirmed cancellation where the owner alone cannot follow the records: the feed tells
    * it otherwise, and the bound on the age of its view holds whether or not this arrives.
    */
-  private tellCancelled(shard: number, job: string): void {
-    this.askNode(this.membership.owner(shard), { cancelled: { shard, job } }).catch(() => undefined);
+  private notifyOwnerOfCancellation(shard: number, job: string): void {
+    this.requestController(this.membership.owner(shard), { cancelled: { shard, job } }).catch(
+      () => undefined,
+    );
   }
 
-  private async countsOf(shard: number, job: string): Promise<{ done: number; running: number } | null> {
-    const reply = await this.askNode(this.membership.owner(shard), { lookup: { shard, job } }).catch(
-      () => null,
-    );
+  private async taskCounts(shard: number, job: string): Promise<{ done: number; running: number } | null> {
+    const reply = await this.requestController(this.membership.owner(shard), {
+      lookup: { shard, job },
+    }).catch(() => null);
     return reply !== null && "counts" in reply && reply.counts.known ? reply.counts : null;
   }
 }
--- a/src/report-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -1,17 +1,18 @@
 /** Brings workers' reports to the owner of their machine's shard. */
-import type { Autoscaler } from "./autoscaling/autoscaler.js";
-import type { Routed } from "./http/reports.js";
+import type { Autoscaler } from "../autoscaling/autoscaler.js";
+import type { HeartbeatRouting } from "../http/heartbeats.js";
 import type { LinkMonitoring } from "./link-monitoring.js";
-import type { Membership } from "./membership/membership.js";
-import type { PeerReply, PeerRequest } from "./peers/messages.js";
-import type { ReportAnswer, ShardOwner } from "./placement/shard-owner.js";
+import type { Membership } from "../membership/membership.js";
+import type { PeerReply, PeerRequest } from "../peers/messages.js";
+import type { ShardOwner } from "../shards/shard-owner.js";
+import type { HeartbeatResponse } from "../shards/shard-owner-messages.js";
 import { RedirectedWorkers } from "./redirected-workers.js";
-import type { SteadyClock } from "./runtime/clock.js";
-import { commandsToWire, REPORT_TIMEOUT_S, type WorkerReport } from "./wire/index.js";
-import type { Fleet } from "./workers/fleet.js";
+import type { SteadyClock } from "../runtime/clock.js";
+import { commandsToWire, HEARTBEAT_TIMEOUT_S, type Heartbeat } from "../wire/index.js";
+import type { Fleet } from "../workers/fleet.js";
 
 /** What the router needs of the rest of the process. */
-export interface ReportRouterParts {
+export interface HeartbeatRouterDependencies {
   /** This node's name. */
   node: string;
   fleet: Fleet;
@@ -27,18 +28,18 @@
 }
 
 /** Answers reports of this process's shards, and redirects all others. */
-export class ReportRouter {
+export class HeartbeatRouter {
   /** When the owner of a shard was last told that its workers come here. */
   private readonly misroutedAt = new Map<number, number>();
 
   private readonly redirected: RedirectedWorkers;
 
-  constructor(private readonly parts: ReportRouterParts) {
-    this.redirected = new RedirectedWorkers(parts.maxMachines, REPORT_TIMEOUT_S * 1000);
+  constructor(private readonly parts: HeartbeatRouterDependencies) {
+    this.redirected = new RedirectedWorkers(parts.maxMachines, HEARTBEAT_TIMEOUT_S * 1000);
   }
 
   /** Answers the report, or tells the worker where to go. */
-  async route(report: WorkerReport): Promise<Routed> {
+  async route(report: Heartbeat): Promise<HeartbeatRouting> {
     const record = this.parts.fleet.get(report.host);
     if (record === undefined) {
       // Only the leader gives machines to shards; the worker comes again until it has.
@@ -49,9 +50,13 @@
     }
     const owner = this.parts.ownerOf(record.shard);
     if (owner === undefined) this.reportMisrouted(record.shard, report);
-    else this.parts.links.noteReport(record.shard, report.token);
+    else this.parts.links.noteReport(record.shard, report.highestToken);
     if (owner === undefined || owner.writableNeedDrain) return this.redirect(record.shard);
-    const answer = await owner.ask<ReportAnswer>((reply) => ({ kind: "report", report, reply }));
+    const answer = await owner.ask<HeartbeatResponse>((reply) => ({
+      kind: "heartbeat",
+      heartbeat: report,
+      reply,
+    }));
     if (answer.kind === "refused") return this.redirect(record.shard);
     const { token, commands } = answer.renewal;
     return { kind: "commands", body: commandsToWire(token, commands) };
@@ -63,12 +68,12 @@
    * spoken to it before; if it comes here now, its owner is told, and passes the shard on if it hears no worker at all. So
    * does one that was sent to that owner before and comes back without its token: a new owner may never have been heard.
    */
-  private reportMisrouted(shard: number, report: WorkerReport): void {
+  private reportMisrouted(shard: number, report: Heartbeat): void {
     const owner = this.parts.membership.owner(shard);
     const term = this.parts.membership.cluster.shards[shard]?.version;
     if (owner === null || term === undefined) return;
     const now = this.parts.clock();
-    if (report.token !== term && !this.redirected.isBack(report.host, term, now)) return;
+    if (report.highestToken !== term && !this.redirected.hasReturned(report.host, term, now)) return;
     this.parts.links.noteMisrouted(shard, term, report.host);
     if (now - (this.misroutedAt.get(shard) ?? -Infinity) < this.parts.misroutedSpacingMs) return;
     this.misroutedAt.set(shard, now);
@@ -77,7 +82,7 @@
       .catch(() => undefined);
   }
 
-  private redirect(shard: number): Routed {
+  private redirect(shard: number): HeartbeatRouting {
     const owner = this.parts.membership.owner(shard);
     return { kind: "redirect", owner: owner === this.parts.node ? null : owner };
   }
--- a/src/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -1,28 +1,28 @@
 /** Connects the link monitor with the rest of the process, or leaves everything as it is while the monitor is off. */
-import type { CloudClient } from "./cloud/client.js";
-import type { OperatorSettings } from "./config/operator.js";
-import type { Settings } from "./config/settings.js";
-import type { Dependencies } from "./dependencies.js";
-import type { UserRequestHandler } from "./http/users.js";
-import { UNRESTRICTED, type LinkPolicy } from "./links/access.js";
-import type { LinkName, ObservationSink } from "./links/model.js";
-import { LinkMonitor, type LinkMonitorHooks } from "./links/monitor.js";
-import { isCloudTrouble, isUnavailable, ObservedCalls } from "./links/observed-calls.js";
-import { deriveLinkTimings } from "./links/settings.js";
-import { statusWhileOff, type LinkStatus } from "./links/status.js";
-import type { Membership } from "./membership/membership.js";
-import type { PeerNetwork } from "./peers/network.js";
-import { ObservedPeers } from "./peers/observed-network.js";
-import type { Logger } from "./runtime/log.js";
+import type { CloudClient } from "../cloud/cloud-client.js";
+import type { OperatorSettings } from "../config/operator.js";
+import type { Settings } from "../config/settings.js";
+import type { ControllerDependencies } from "./dependencies.js";
+import type { UserRequestHandler } from "../http/user-requests.js";
+import { UNRESTRICTED, type LinkPolicy } from "../links/access.js";
+import type { LinkName, ObservationSink } from "../links/model.js";
+import { LinkMonitor, type LinkMonitorHooks } from "../links/monitor.js";
+import { isCloudTrouble, isUnavailable, ObservedCalls } from "../links/observed-calls.js";
+import { deriveLinkTimings } from "../links/settings.js";
+import { statusWhileOff, type LinkStatus } from "../links/status.js";
+import type { Membership } from "../membership/membership.js";
+import type { PeerNetwork } from "../peers/network.js";
+import { ObservedPeerNetwork } from "../peers/observed-network.js";
+import type { Logger } from "../runtime/log.js";
 import type { ShardHost } from "./shard-host.js";
 import type { Timings } from "./timings.js";
-import { HEALTH_CHECK_S, REPORT_TIMEOUT_S } from "./wire/index.js";
+import { HEALTH_CHECK_S, HEARTBEAT_TIMEOUT_S } from "../wire/index.js";
 
 /** So many missed health checks make users' load balancer silent. */
 const SILENT_HEALTH_CHECKS = 5;
 
 /** The actors that the monitor asks and tells; they are made after it. */
-export interface MonitoredParts {
+export interface MonitoredActors {
   membership: Membership;
   shards: ShardHost;
   cloud: CloudClient;
@@ -32,14 +32,14 @@
 /** The link monitor of one controller, if operators have switched it on. */
 export class LinkMonitoring {
   private readonly monitor: LinkMonitor | null;
-  private parts: MonitoredParts | null = null;
+  private parts: MonitoredActors | null = null;
 
   constructor(
     private readonly settings: Settings,
     operator: OperatorSettings,
     timings: Timings,
     incarnation: string,
-    { clock }: Dependencies,
+    { clock }: ControllerDependencies,
     log: Logger,
   ) {
     const { links } = operator;
@@ -57,7 +57,7 @@
               timings: deriveLinkTimings(links, { ...workers, callMs, tickMs, shardMovePeriodMs }),
               probes: { cloudRps: cloud.rps, controllers, share: links.probe_share },
               // A worker that gets no answer goes on to another controller after its time-out.
-              misroutedWindowMs: REPORT_TIMEOUT_S * 1000 + 2 * workers.reportMs,
+              misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.reportMs,
               maxMachines: operator.maxMachines,
               usersSilentMs: SILENT_HEALTH_CHECKS * HEALTH_CHECK_S * 1000,
               clock,
@@ -73,13 +73,13 @@
   }
 
   /** The actors exist from now on. */
-  attach(parts: MonitoredParts): void {
+  attach(parts: MonitoredActors): void {
     this.parts = parts;
     if (this.monitor !== null) parts.peers.viewExchange = this.monitor;
   }
 
   /** The network, watched. */
-  watch(around: Dependencies): Dependencies {
+  watch(around: ControllerDependencies): ControllerDependencies {
     if (this.monitor === null) return around;
     const { clock } = around;
     const { sink } = this;
@@ -90,7 +90,7 @@
       state: new ObservedCalls(around.state, { ...state, timed: true }),
       watches: new ObservedCalls(around.watches, { ...state, timed: false }),
       cloud: new ObservedCalls(around.cloud, { ...cloud, timed: false }),
-      peers: new ObservedPeers(around.peers, sink),
+      peers: new ObservedPeerNetwork(around.peers, sink),
     };
   }
 
@@ -98,9 +98,9 @@
   watchUsers(users: UserRequestHandler): UserRequestHandler {
     if (this.monitor === null) return users;
     return {
-      answer: (request) => {
+      handle: (request) => {
         this.noteUserRequest();
-        return users.answer(request);
+        return users.handle(request);
       },
     };
   }
@@ -152,8 +152,8 @@
   private probe(link: LinkName): void {
     if (this.parts === null) return;
     const { cloud, peers } = this.parts;
-    if (link === "cloud" && cloud.mayCall()) cloud.types().catch(() => undefined);
+    if (link === "cloud" && cloud.tryAcquireCall()) cloud.listMachineTypes().catch(() => undefined);
     const peer = /^peer:(.+)$/.exec(link)?.[1];
-    if (peer !== undefined) peers.ask(peer, { ping: {} }).catch(() => undefined);
+    if (peer !== undefined) peers.request(peer, { ping: {} }).catch(() => undefined);
   }
 }
--- a/src/peer-requests.ts
+++ b/src/controller/peer-request-handler.ts
@@ -1,14 +1,14 @@
 /** Answers what other controllers ask: each request goes to the actor that it is for. */
-import type { Autoscaler } from "./autoscaling/autoscaler.js";
-import type { UserRequestHandler } from "./http/users.js";
-import type { LinkStatus } from "./links/status.js";
-import type { Membership } from "./membership/membership.js";
-import type { PeerReply, PeerRequest, ShardLoadReport, Summary } from "./peers/messages.js";
-import type { ShardOwner } from "./placement/shard-owner.js";
-import { parseJson } from "./runtime/http-client.js";
+import type { Autoscaler } from "../autoscaling/autoscaler.js";
+import type { UserRequestHandler } from "../http/user-requests.js";
+import type { LinkStatus } from "../links/status.js";
+import type { Membership } from "../membership/membership.js";
+import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/messages.js";
+import type { ShardOwner } from "../shards/shard-owner.js";
+import { parseJson } from "../runtime/json-client.js";
 
 /** The answer where there is nothing to say. */
-export const NOTHING: PeerReply = { accepted: { hosts: [] } };
+export const EMPTY_REPLY: PeerReply = { accepted: { hosts: [] } };
 
 /** Where requests of other controllers go. */
 export interface PeerRequestTargets {
@@ -22,11 +22,11 @@
   /** The state of this controller's links. */
   linkStatus: () => LinkStatus;
   /** Takes in how full a shard is, and tells how full all are. */
-  recordSummary: (summary: Summary) => ShardLoadReport[];
+  recordSummary: (summary: ShardSummary) => ShardLoadReport[];
 }
 
 /** Answers one request of another controller, or of this process itself. */
-export async function answerPeerRequest(
+export async function handlePeerRequest(
   request: PeerRequest,
   targets: PeerRequestTargets,
 ): Promise<PeerReply> {
@@ -38,55 +38,55 @@
     return { loads: { notes } };
   }
   if ("linkStatus" in request) return { linkReport: { json: JSON.stringify(targets.linkStatus()) } };
-  if ("forward" in request) return forwarded(request.forward, users);
+  if ("forward" in request) return handleForwarded(request.forward, users);
   if ("lookup" in request) {
     const { shard, job } = request.lookup;
     const owner = ownerOf(shard);
     if (owner === undefined) return { counts: { known: false, done: 0, running: 0 } };
-    return { counts: await owner.ask((reply) => ({ kind: "counts", job, reply })) };
+    return { counts: await owner.ask((reply) => ({ kind: "task_counts", job, reply })) };
   }
-  if ("drain" in request || "give" in request) return leaving(request, ownerOf);
+  if ("drain" in request || "give" in request) return handleMachineRemoval(request, ownerOf);
   if ("handOver" in request) membership.tell({ kind: "hand_over", ...request.handOver });
   if ("misroutedHeartbeat" in request) {
     const { shard, cameTo } = request.misroutedHeartbeat;
     // One worker alone says little; if none comes here any more, the shard is better off where they go.
-    if (ownerOf(shard)?.unheard && targets.mayHandOver(shard))
+    if (ownerOf(shard)?.isCutOffFromWorkers && targets.mayHandOver(shard))
       membership.tell({ kind: "hand_over", shard, to: cameTo });
   }
   if ("cancelled" in request) {
     const { shard, job } = request.cancelled;
-    ownerOf(shard)?.tell({ kind: "cancelled", job });
+    ownerOf(shard)?.tell({ kind: "job_cancelled", job });
   }
   if ("transfer" in request) {
     const { shard, to, job } = request.transfer;
-    ownerOf(shard)?.tell({ kind: "transfer", to, job });
+    ownerOf(shard)?.tell({ kind: "migrate_job", targetShard: to, job });
   }
   if ("cordon" in request) {
     const { shard, to, demand } = request.cordon;
-    ownerOf(shard)?.tell({ kind: "cordon", to, demand });
+    ownerOf(shard)?.tell({ kind: "cordon_machine", targetShard: to, demand });
   }
-  return NOTHING;
+  return EMPTY_REPLY;
 }
 
-async function forwarded(
+async function handleForwarded(
   { method, path, body }: { method: string; path: string; body: string },
   users: UserRequestHandler,
 ): Promise<PeerReply> {
-  const { status, body: said } = await users.answer({ method, path, body: parseJson(body) });
+  const { status, body: said } = await users.handle({ method, path, body: parseJson(body) });
   return { answer: { status, body: JSON.stringify(said) } };
 }
 
-async function leaving(
+async function handleMachineRemoval(
   request: Extract<PeerRequest, { drain: object } | { give: object }>,
   ownerOf: PeerRequestTargets["ownerOf"],
 ): Promise<PeerReply> {
   const { shard, hosts } = "drain" in request ? request.drain : request.give;
   const owner = ownerOf(shard);
-  if (owner === undefined) return NOTHING;
+  if (owner === undefined) return EMPTY_REPLY;
   const accepted = await owner.ask<string[]>((reply) =>
     "drain" in request
-      ? { kind: "drain", hosts, reply }
-      : { kind: "give", to: request.give.to, hosts, reply },
+      ? { kind: "drain_machines", hosts, reply }
+      : { kind: "transfer_machines", targetShard: request.give.to, hosts, reply },
   );
   return { accepted: { hosts: accepted } };
 }
--- a/src/redirected-workers.ts
+++ b/src/controller/redirected-workers.ts
@@ -20,7 +20,7 @@
   }
 
   /** Whether this worker was sent to the same owner some time ago; the first time it is only remembered. */
-  isBack(host: string, term: number, now: number): boolean {
+  hasReturned(host: string, term: number, now: number): boolean {
     const known = this.redirects.get(host);
     if (known?.term === term) return now - known.at >= this.leastMs;
     this.redirects.set(host, { term, at: now });
--- a/src/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -1,33 +1,34 @@
 /** The shards in this process's hands: an owner actor for each, from when the records name this process until they do not. */
-import type { Settings } from "./config/settings.js";
-import type { LinkPolicy } from "./links/access.js";
-import type { OwnedShardStatus } from "./links/remedies.js";
-import type { Authority } from "./membership/authority.js";
-import type { Membership } from "./membership/membership.js";
-import type { Summary } from "./peers/messages.js";
-import { AnswerGate, type AnswerGateTimings } from "./placement/answer-gate.js";
-import type { DecisionMetrics } from "./placement/decision-metrics.js";
-import { Shard } from "./placement/shard.js";
-import { ShardOwner, type ShardOwnerTimings } from "./placement/shard-owner.js";
-import type { SteadyClock } from "./runtime/clock.js";
-import type { Logger } from "./runtime/log.js";
-import type { StateClient } from "./state/client.js";
-import type { Replica } from "./state/replica.js";
-import type { Change, MachineType } from "./wire/index.js";
-import type { Fleet } from "./workers/fleet.js";
+import type { Settings } from "../config/settings.js";
+import type { LinkPolicy } from "../links/access.js";
+import type { OwnedShardStatus } from "../links/remedies.js";
+import type { ShardAuthority } from "../membership/shard-authority.js";
+import type { Membership } from "../membership/membership.js";
+import type { ShardSummary } from "../peers/messages.js";
+import { RenewalGuard, type RenewalGuardTimings } from "../shards/renewal-guard.js";
+import type { DecisionMetrics } from "../shards/decision-metrics.js";
+import { Shard } from "../shards/shard.js";
+import { ShardOwner } from "../shards/shard-owner.js";
+import type { ShardOwnerTimings } from "../shards/shard-owner-messages.js";
+import type { SteadyClock } from "../runtime/clock.js";
+import type { Logger } from "../runtime/log.js";
+import type { StateStoreClient } from "../state/state-store-client.js";
+import type { Replica } from "../state/replica.js";
+import type { RecordChange, MachineType } from "../wire/index.js";
+import type { Fleet } from "../workers/fleet.js";
 
 /** What the host needs of the rest of the process. */
-export interface ShardHostParts {
+export interface ShardHostDependencies {
   settings: Settings;
-  timings: ShardOwnerTimings & AnswerGateTimings;
+  timings: ShardOwnerTimings & RenewalGuardTimings;
   metrics: DecisionMetrics;
-  state: StateClient;
+  state: StateStoreClient;
   replica: Replica;
   fleet: Fleet;
   membership: Membership;
   links: LinkPolicy;
   types: () => Map<string, MachineType>;
-  sendSummary: (summary: Summary) => void;
+  sendSummary: (summary: ShardSummary) => void;
   clock: SteadyClock;
   log: Logger;
 }
@@ -42,7 +43,7 @@
 export class ShardHost {
   private readonly shards = new Map<number, OwnedShard>();
 
-  constructor(private readonly parts: ShardHostParts) {}
+  constructor(private readonly parts: ShardHostDependencies) {}
 
   /** The owner of a shard, if it is in this process. */
   ownerOf(shard: number): ShardOwner | undefined {
@@ -54,9 +55,9 @@
   }
 
   /** Passes on changed records; null: everything may be different. */
-  followRecords(changes: Change[] | null): void {
+  applyChanges(changes: RecordChange[] | null): void {
     for (const { owner } of this.shards.values())
-      owner.tell({ kind: "records", changes, asOf: this.parts.replica.asOf });
+      owner.tell({ kind: "records_changed", changes, completeAsOf: this.parts.replica.completeAsOf });
   }
 
   /** Which workers are expected to report here. */
@@ -64,18 +65,18 @@
     return Array.from(this.shards, ([shard, { owner, token }]) => ({
       shard,
       term: token,
-      machines: owner.expectedReporters,
+      machines: owner.expectedHeartbeatSources,
     }));
   }
 
   /** Starts owners for shards that have become ours and drops those of shards that have not stayed so. */
-  followOwnership(): void {
+  reconcileOwnership(): void {
     const { membership, log } = this.parts;
-    const { cluster, me } = membership;
+    const { cluster, self: me } = membership;
     cluster.shards.forEach((record, shard) => {
       const ours = record !== null && record.node === me.node && record.incarnation === me.incarnation;
       let owned = this.shards.get(shard);
-      if (owned && (!ours || !membership.continues(shard, owned.token))) {
+      if (owned && (!ours || !membership.continuesTerm(shard, owned.token))) {
         this.shards.delete(shard);
         owned.owner.retire();
         owned = undefined;
@@ -84,21 +85,21 @@
       if (!ours) return;
       if (owned) owned.token = record.version;
       else {
-        this.shards.set(shard, this.begin(shard, record.version));
-        const viewAgeMs = Math.round(this.parts.clock() - this.parts.replica.asOf);
+        this.shards.set(shard, this.startOwner(shard, record.version));
+        const viewAgeMs = Math.round(this.parts.clock() - this.parts.replica.completeAsOf);
         const { revision } = this.parts.replica;
         log.info({ shard, token: record.version, revision, viewAgeMs }, "shard owned");
       }
     });
   }
 
-  private begin(n: number, token: number): OwnedShard {
+  private startOwner(n: number, token: number): OwnedShard {
     const { settings, timings, state, replica, fleet, membership, links, types, metrics, clock, log } =
       this.parts;
     const shard = new Shard(n, token, clock(), settings, types, replica, log, metrics);
     const hooks = {
       // The token counts only for the owner whose term it belongs to.
-      authority: (): Authority => {
+      authority: (): ShardAuthority => {
         const current = membership.authority(n);
         const sameTerm = current.held && current.token === owned.token && this.shards.get(n) === owned;
         if (sameTerm || !current.held) return current;
@@ -106,11 +107,11 @@
         return { held: false, reason: "other_term", leaseLeftMs, viewAgeMs };
       },
       advanceToken: () => void membership.tell({ kind: "advance_token", shard: n }),
-      summary: this.parts.sendSummary,
+      sendSummary: this.parts.sendSummary,
       mayPlace: () => links.allows("start"),
-      mayGiveBack: () => links.allows("return"),
+      mayRemoveMachines: () => links.allows("return"),
     };
-    const gate = new AnswerGate(n, timings, metrics, clock, log);
+    const gate = new RenewalGuard(n, timings, metrics, clock, log);
     const owner = new ShardOwner(shard, timings, state, replica, fleet, clock, hooks, gate, log);
     const owned: OwnedShard = { owner, token };
     return owned;
--- a/src/timings.ts
+++ b/src/controller/timings.ts
@@ -1,11 +1,11 @@
 /** The durations that this program goes by, derived from the settings. */
-import type { OperatorSettings } from "./config/operator.js";
-import type { Settings } from "./config/settings.js";
-import { REPORT_TIMEOUT_S } from "./wire/index.js";
+import type { OperatorSettings } from "../config/operator.js";
+import type { Settings } from "../config/settings.js";
+import { HEARTBEAT_TIMEOUT_S } from "../wire/index.js";
 
 /** Peers answer at once or not in time for a user. */
 export const peerTimeoutMs = ({ workers }: Settings): number =>
-  Math.min(workers.leaseMs / 20, (REPORT_TIMEOUT_S * 1000) / 8);
+  Math.min(workers.leaseMs / 20, (HEARTBEAT_TIMEOUT_S * 1000) / 8);
 
 /** The part of the state service's requests that may go to following its changes. */
 const FEED_PART = 0.2;
--- a/src/http/app.ts
+++ b/src/http/app.ts
@@ -1,16 +1,16 @@
 /** The interface for users, workers and health checks. */
 import Koa, { type Context } from "koa";
-import { BodyTooLarge, parseJson, readAll } from "../runtime/http-client.js";
+import { BodyTooLargeError, parseJson, readText } from "../runtime/json-client.js";
 import { restrictionLines, statusRows, type LinkStatus } from "../links/status.js";
-import type { DecisionReport } from "../placement/decision-metrics.js";
+import type { DecisionReport } from "../shards/decision-metrics.js";
 import { MAX_BODY_BYTES, paths } from "../wire/index.js";
-import { answerReport, type ReportParts } from "./reports.js";
-import type { UserRequestHandler } from "./users.js";
+import { handleHeartbeat, type HeartbeatDependencies } from "./heartbeats.js";
+import type { UserRequestHandler } from "./user-requests.js";
 
 /** What the HTTP interface needs of the rest of the process. */
-export interface AppParts extends ReportParts {
+export interface HttpDependencies extends HeartbeatDependencies {
   users: UserRequestHandler;
-  healthy(): boolean;
+  isHealthy(): boolean;
   linkStatus(): LinkStatus;
   decisions(): DecisionReport;
 }
@@ -24,41 +24,41 @@
 const JSON_TYPE = "application/json; charset=utf-8";
 
 /** The koa application for users, workers and health checks. */
-export function createApp(parts: AppParts): Koa {
+export function createApp(parts: HttpDependencies): Koa {
   const app = new Koa();
   app.on("error", (err: Error) => {
     parts.log.debug({ err: err.message }, "request failed");
   });
   app.use(async (ctx) => {
     if (ctx.path === paths.health)
-      return only(ctx, "GET", () => {
+      return requireMethod(ctx, "GET", () => {
         health(ctx, parts);
       });
     if (ctx.path === LINKS_PATH)
-      return only(ctx, "GET", () => {
+      return requireMethod(ctx, "GET", () => {
         linkStatus(ctx, parts);
       });
     if (ctx.path === DECISIONS_PATH)
-      return only(ctx, "GET", () => {
-        answer(ctx, 200, parts.decisions());
+      return requireMethod(ctx, "GET", () => {
+        sendJson(ctx, 200, parts.decisions());
       });
-    if (ctx.path === paths.report)
-      return only(ctx, "POST", async () => {
-        const { status, body } = await answerReport(await readBody(ctx), parts);
-        answer(ctx, status, body);
+    if (ctx.path === paths.heartbeat)
+      return requireMethod(ctx, "POST", async () => {
+        const { status, body } = await handleHeartbeat(await readBody(ctx), parts);
+        sendJson(ctx, status, body);
       });
     const { method, path } = ctx;
     const text = method === "POST" ? await readBody(ctx) : undefined;
     const body = text === undefined ? undefined : parseJson(text);
-    const { status, body: said, allow } = await parts.users.answer({ method, path, body });
+    const { status, body: said, allow } = await parts.users.handle({ method, path, body });
     if (allow !== undefined) ctx.set("Allow", allow);
-    answer(ctx, status, said);
+    sendJson(ctx, status, said);
   });
   return app;
 }
 
 /** Written by itself: finding out what kind of body it has costs koa a good part of a report's answer. */
-function answer(ctx: Context, status: number, body: object): void {
+function sendJson(ctx: Context, status: number, body: object): void {
   ctx.respond = false;
   if (status === 503) ctx.set("Retry-After", RETRY_AFTER_S);
   const text = JSON.stringify(body);
@@ -66,25 +66,29 @@
   ctx.res.end(text);
 }
 
-async function only(ctx: Context, method: string, handle: () => Promise<void> | void): Promise<void> {
+async function requireMethod(
+  ctx: Context,
+  method: string,
+  handle: () => Promise<void> | void,
+): Promise<void> {
   if (ctx.method !== method) {
     ctx.set("Allow", method);
-    answer(ctx, 405, { error: `use ${method}` });
+    sendJson(ctx, 405, { error: `use ${method}` });
     return;
   }
   await handle();
 }
 
-function health(ctx: Context, parts: AppParts): void {
-  const ok = parts.healthy();
-  answer(ctx, ok ? 200 : 503, { ok });
+function health(ctx: Context, parts: HttpDependencies): void {
+  const ok = parts.isHealthy();
+  sendJson(ctx, ok ? 200 : 503, { ok });
 }
 
 /** JSON, or plain text for those who ask for it. */
-function linkStatus(ctx: Context, parts: AppParts): void {
+function linkStatus(ctx: Context, parts: HttpDependencies): void {
   const status = parts.linkStatus();
   if (ctx.accepts("application/json", "text/plain") !== "text/plain") {
-    answer(ctx, 200, status);
+    sendJson(ctx, 200, status);
     return;
   }
   const rows = statusRows(status).map((row) => Object.values(row).join("\t"));
@@ -95,9 +99,9 @@
 /** The body's text; undefined where it is too long. */
 async function readBody(ctx: Context): Promise<string | undefined> {
   try {
-    return await readAll(ctx.req, MAX_BODY_BYTES);
+    return await readText(ctx.req, MAX_BODY_BYTES);
   } catch (err) {
-    if (!(err instanceof BodyTooLarge)) throw err;
+    if (!(err instanceof BodyTooLargeError)) throw err;
     ctx.set("Connection", "close");
     return undefined;
   }
--- a/src/http/report-endpoint.ts
+++ b/src/http/heartbeat-endpoint.ts
@@ -6,20 +6,20 @@
 import { STATUS_CODES, type Server as HttpServer } from "node:http";
 import type { Socket } from "node:net";
 import type { Logger } from "../runtime/log.js";
-import type { ReportAnswer } from "./reports.js";
-import { readReportRequest } from "./report-request.js";
+import type { HttpResponse } from "./heartbeats.js";
+import { readHeartbeatRequest } from "./heartbeat-request.js";
 
 /** What the endpoint needs of the rest of the process. */
-export interface ReportEndpointParts {
+export interface HeartbeatEndpointOptions {
   /** Answers the body of a report. */
-  answer: (body: string) => Promise<ReportAnswer>;
+  answer: (body: string) => Promise<HttpResponse>;
   log: Logger;
   /** A connection on which nothing came for so long is closed. */
   idleMs: number;
 }
 
 /** One connection that has carried nothing but reports so far. */
-class ReportConnection {
+class HeartbeatConnection {
   private pending: Buffer | null = null;
   private answering = false;
   /** Whether anything came since the last look for idle connections. */
@@ -27,7 +27,7 @@
 
   constructor(
     private readonly socket: Socket,
-    private readonly parts: ReportEndpointParts,
+    private readonly parts: HeartbeatEndpointOptions,
     private readonly toServer: (socket: Socket) => void,
     private readonly ended: () => void,
   ) {
@@ -62,7 +62,7 @@
 
   private serve(): void {
     if (this.pending === null) return;
-    const request = readReportRequest(this.pending);
+    const request = readHeartbeatRequest(this.pending);
     if (request.kind === "incomplete") return;
     if (request.kind === "other") {
       this.handOver(this.pending);
@@ -97,7 +97,7 @@
   }
 }
 
-function responseText({ status, body }: ReportAnswer): string {
+function responseText({ status, body }: HttpResponse): string {
   const text = JSON.stringify(body);
   return (
     `HTTP/1.1 ${status} ${STATUS_CODES[status] ?? ""}\r\nContent-Type: application/json; charset=utf-8\r\n` +
@@ -109,15 +109,15 @@
  * Puts itself before a server's own handling of connections. Connections that have gone quiet are closed; the answer
  * closes all.
  */
-export function serveReports(server: HttpServer, parts: ReportEndpointParts): () => void {
+export function serveHeartbeats(server: HttpServer, parts: HeartbeatEndpointOptions): () => void {
   const listeners = server.listeners("connection") as ((socket: Socket) => void)[];
   const toServer = (socket: Socket): void => {
     for (const listener of listeners) listener.call(server, socket);
   };
-  const connections = new Set<ReportConnection>();
+  const connections = new Set<HeartbeatConnection>();
   server.removeAllListeners("connection");
   server.on("connection", (socket) => {
-    const connection = new ReportConnection(socket, parts, toServer, () => connections.delete(connection));
+    const connection = new HeartbeatConnection(socket, parts, toServer, () => connections.delete(connection));
     connections.add(connection);
   });
   const sweep = setInterval(() => {
--- a/src/http/report-request.ts
+++ b/src/http/heartbeat-request.ts
@@ -2,14 +2,14 @@
 import { MAX_BODY_BYTES, paths } from "../wire/index.js";
 
 /** What a connection's unread bytes begin with. */
-export type ReportRequest =
+export type HeartbeatRequest =
   | { kind: "report"; body: string; /** How many bytes it takes. */ end: number }
   /** It may become a report once more bytes have come. */
   | { kind: "incomplete" }
   /** Anything else, an oversize or odd report included. */
   | { kind: "other" };
 
-const START = Buffer.from(`POST ${paths.report} HTTP/1.1\r\n`, "latin1");
+const START = Buffer.from(`POST ${paths.heartbeat} HTTP/1.1\r\n`, "latin1");
 const HEAD_END = Buffer.from("\r\n\r\n", "latin1");
 /** A longer head is no worker's. */
 const MAX_HEAD_BYTES = 4096;
@@ -17,11 +17,11 @@
 const LENGTH = /\r\ncontent-length:[ \t]*(\d{1,8})[ \t]*\r\n/;
 const ODD = /\r\n(?:transfer-encoding|expect|upgrade|connection:(?![ \t]*keep-alive[ \t]*\r\n)|[ \t])/;
 
-const INCOMPLETE: ReportRequest = { kind: "incomplete" };
-const OTHER: ReportRequest = { kind: "other" };
+const INCOMPLETE: HeartbeatRequest = { kind: "incomplete" };
+const OTHER: HeartbeatRequest = { kind: "other" };
 
 /** Reads the first request of a connection's unread bytes. */
-export function readReportRequest(bytes: Buffer): ReportRequest {
+export function readHeartbeatRequest(bytes: Buffer): HeartbeatRequest {
   const known = Math.min(bytes.byteLength, START.byteLength);
   if (START.compare(bytes, 0, known, 0, known) !== 0) return OTHER;
   const headEnd = bytes.indexOf(HEAD_END);
--- a/src/http/relay.ts
+++ b/src/http/request-forwarder.ts
@@ -4,14 +4,14 @@
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
-import type { UserAnswer, UserRequestHandler, UserRequest } from "./users.js";
+import type { UserResponse, UserRequestHandler, UserRequest } from "./user-requests.js";
 
 /** What the relay needs of the rest of the process. */
-export interface RelayParts {
+export interface RequestForwarderDependencies {
   own: UserRequestHandler;
   peers: string[];
   /** Asks a peer, which answers itself or not at all: a request is passed on once. */
-  ask: (peer: string, request: UserRequest) => Promise<UserAnswer>;
+  ask: (peer: string, request: UserRequest) => Promise<UserResponse>;
   /** Whether this node is known to be behind, so that asking itself only costs time. */
   behind: () => boolean;
   /** Whether no controller can answer now, so that asking peers only costs time. */
@@ -25,19 +25,19 @@
 /** So many peers are asked about one request. */
 const TRIES = 2;
 
-const UNAVAILABLE: UserAnswer = { status: 503, body: { error: "cannot answer now" } };
+const UNAVAILABLE: UserResponse = { status: 503, body: { error: "cannot answer now" } };
 
 /** Answers users' requests itself, or passes them to a peer once. */
-export class Relay implements UserRequestHandler {
+export class RequestForwarder implements UserRequestHandler {
   /** Peers that could not answer lately. In an outage nobody can, and requests must not go round. */
   private readonly pausedUntil = new Map<string, number>();
   private next = 0;
 
-  constructor(private readonly parts: RelayParts) {}
+  constructor(private readonly parts: RequestForwarderDependencies) {}
 
-  async answer(request: UserRequest): Promise<UserAnswer> {
+  async handle(request: UserRequest): Promise<UserResponse> {
     const { own, behind } = this.parts;
-    const first = behind() ? UNAVAILABLE : await own.answer(request);
+    const first = behind() ? UNAVAILABLE : await own.handle(request);
     if (first.status !== 503 || this.parts.nobodyCan()) return first;
     for (const peer of this.candidates()) {
       const answer = await this.askPeer(peer, request);
@@ -46,7 +46,7 @@
     return first;
   }
 
-  private async askPeer(peer: string, request: UserRequest): Promise<UserAnswer> {
+  private async askPeer(peer: string, request: UserRequest): Promise<UserResponse> {
     const { ask, clock, pauseMs, log } = this.parts;
     try {
       const answer = await ask(peer, request);
--- a/src/http/users.ts
+++ b/src/http/user-requests.ts
@@ -1,5 +1,5 @@
 /** What users ask, answered as the protocol says: from a method, a path and a body to a status and a body. */
-import type { JobService, LookResult } from "../jobs/service.js";
+import type { JobService, JobLookup } from "../jobs/job-service.js";
 import { acceptedToWire, isJobId, parseSubmission, paths, statusToWire } from "../wire/index.js";
 
 /** A user's request, freed of HTTP. */
@@ -11,7 +11,7 @@
 }
 
 /** The answer to a user, freed of HTTP. */
-export interface UserAnswer {
+export interface UserResponse {
   status: number;
   body: object;
   /** The only method that a path takes, where another was used. */
@@ -20,19 +20,19 @@
 
 /** Whoever answers users' requests: this node itself, or one that passes on what it cannot answer. */
 export interface UserRequestHandler {
-  answer(request: UserRequest): Promise<UserAnswer>;
+  handle(request: UserRequest): Promise<UserResponse>;
 }
 
 interface Route {
   allow: string;
-  answer(): Promise<UserAnswer>;
+  answer(): Promise<UserResponse>;
 }
 
 /** Answers users' requests from the job service. */
 export class JobRequestHandler implements UserRequestHandler {
   constructor(private readonly jobs: JobService) {}
 
-  answer(request: UserRequest): Promise<UserAnswer> {
+  handle(request: UserRequest): Promise<UserResponse> {
     const { method, path } = request;
     const route = this.route(request);
     if (route === null)
@@ -53,11 +53,11 @@
     if (cancel !== undefined)
       return { allow: "POST", answer: () => this.look(cancel, (id) => this.jobs.cancel(id), false) };
     if (job !== undefined)
-      return { allow: "GET", answer: () => this.look(job, (id) => this.jobs.look(id), true) };
+      return { allow: "GET", answer: () => this.look(job, (id) => this.jobs.lookUp(id), true) };
     return null;
   }
 
-  private async submit(body: unknown): Promise<UserAnswer> {
+  private async submit(body: unknown): Promise<UserResponse> {
     const parsed = parseSubmission(body);
     if (!parsed.ok) return { status: 400, body: { error: parsed.error } };
     const result = await this.jobs.submit(parsed.value);
@@ -75,10 +75,10 @@
 
   private async look(
     id: string,
-    find: (id: string) => Promise<LookResult>,
+    find: (id: string) => Promise<JobLookup>,
     counts: boolean,
-  ): Promise<UserAnswer> {
-    const result: LookResult = isJobId(id) ? await find(id) : { kind: "unknown" };
+  ): Promise<UserResponse> {
+    const result: JobLookup = isJobId(id) ? await find(id) : { kind: "unknown" };
     if (result.kind === "unknown") return { status: 404, body: { error: "no such job" } };
     if (result.kind === "unavailable") return { status: 503, body: { error: "cannot say now" } };
     return {
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -11,7 +11,7 @@
 }
 
 /** Checks a submission against teams, zones and machine types. */
-export function admit(
+export function checkAdmission(
   spec: JobSpec,
   settings: Pick<Settings, "zones" | "teams">,
   types: MachineType[],
--- a/src/jobs/bits.ts
+++ b/src/jobs/bitmap.ts
@@ -2,7 +2,7 @@
 export const CHUNK_TASKS = 16_384;
 
 /** A set of task numbers as a bitmap that knows its size. */
-export class Bits {
+export class Bitmap {
   private readonly bytes: Uint8Array;
   count = 0;
 
--- a/src/jobs/records.ts
+++ b/src/jobs/job-records.ts
@@ -56,6 +56,7 @@
 export const readQuotaReservation = (value: unknown): QuotaReservation | null =>
   quotaReservationSchema.safeParse(value).data ?? null;
 export const readEnded = (value: unknown): EndedRecord | null => endedSchema.safeParse(value).data ?? null;
-export const readProgress = (value: unknown): Record<string, string> | null =>
+export const readCompletedTasksPage = (value: unknown): Record<string, string> | null =>
   progressSchema.safeParse(value).data?.jobs ?? null;
-export const readDone = (value: unknown): string | null => doneSchema.safeParse(value).data?.bits ?? null;
+export const readCompletedTasksChunk = (value: unknown): string | null =>
+  doneSchema.safeParse(value).data?.bits ?? null;
--- a/src/jobs/service.ts
+++ b/src/jobs/job-service.ts
@@ -4,16 +4,16 @@
  */
 import { LRUCache } from "lru-cache";
 import type { Settings } from "../config/settings.js";
-import { StateFailure, type StateClient } from "../state/client.js";
-import type { Freshness } from "../state/freshness.js";
+import { StateStoreError, type StateStoreClient } from "../state/state-store-client.js";
+import type { ReadBarrier } from "../state/read-barrier.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { Logger } from "../runtime/log.js";
-import type { Change, JobSpec, JobStage, JobStatus, MachineType } from "../wire/index.js";
-import { admit } from "./admission.js";
+import type { RecordChange, JobSpec, JobStage, JobStatus, MachineType } from "../wire/index.js";
+import { checkAdmission } from "./admission.js";
 import type { ShardAssignment } from "./shard-assignment.js";
-import { durablyDone } from "./progress.js";
-import { readEnded, readJob, type EndedRecord, type JobRecord } from "./records.js";
+import { countDurablyDone } from "./progress-pages.js";
+import { readEnded, readJob, type EndedRecord, type JobRecord } from "./job-records.js";
 
 /** How a submission ended. */
 export type SubmitResult =
@@ -22,83 +22,86 @@
   | { kind: "unavailable" };
 
 /** How a question after a job, or its cancellation, ended. */
-export type LookResult = { kind: "found"; status: JobStatus } | { kind: "unknown" } | { kind: "unavailable" };
+export type JobLookup = { kind: "found"; status: JobStatus } | { kind: "unknown" } | { kind: "unavailable" };
 
 /** Counts for display, from the shard's owner; null where it does not answer. */
-export type CountsOf = (shard: number, job: string) => Promise<{ done: number; running: number } | null>;
+export type TaskCountsLookup = (
+  shard: number,
+  job: string,
+) => Promise<{ done: number; running: number } | null>;
 
-const REMEMBERED = 10_000;
-const CANCEL_TRIES = 4;
+const REMEMBERED_ENDED_JOBS = 10_000;
+const MAX_CANCEL_ATTEMPTS = 4;
 
 /** Accepts, looks up and cancels jobs, each by the state service and never by memory alone unless final. */
 export class JobService {
   /** Final states never change, so that they may be answered from memory. */
-  private readonly ended = new LRUCache<string, EndedRecord>({ max: REMEMBERED });
+  private readonly ended = new LRUCache<string, EndedRecord>({ max: REMEMBERED_ENDED_JOBS });
 
   constructor(
     private readonly settings: Settings,
-    private readonly state: StateClient,
+    private readonly state: StateStoreClient,
     private readonly view: ReplicaView,
-    private readonly freshness: Freshness,
+    private readonly readBarrier: ReadBarrier,
     private readonly types: () => Map<string, MachineType>,
     private readonly shardAssignment: ShardAssignment,
-    private readonly countsOf: CountsOf,
+    private readonly taskCounts: TaskCountsLookup,
     /** Tells the owner of a job's shard that it is cancelled. */
-    private readonly tellCancelled: (shard: number, job: string) => void,
+    private readonly notifyOwnerOfCancellation: (shard: number, job: string) => void,
     /** How long a submission may wait for its turn to be written. */
     private readonly queueTimeoutMs: number,
     private readonly log: Logger,
   ) {}
 
   /** Takes in from the feed which jobs are over, so that few questions about them need a read. */
-  follow(changes: Change[]): void {
+  applyChanges(changes: RecordChange[]): void {
     for (const change of changes) {
-      if (!change.key.startsWith(prefixes.ended)) continue;
+      if (!change.key.startsWith(prefixes.endedJobs)) continue;
       const ended = readEnded(change.value);
-      if (ended !== null) this.ended.set(change.key.slice(prefixes.ended.length), ended);
+      if (ended !== null) this.ended.set(change.key.slice(prefixes.endedJobs.length), ended);
     }
   }
 
   async submit(spec: JobSpec): Promise<SubmitResult> {
     const types = [...this.types().values()];
     return this.guarded(async (): Promise<SubmitResult> => {
-      const admission = types.length === 0 ? null : admit(spec, this.settings, types);
+      const admission = types.length === 0 ? null : checkAdmission(spec, this.settings, types);
       if (admission?.kind !== "ok") {
         // A job that was accepted once stays accepted, whatever the types or a repeat say by now.
-        const known = await this.look(spec.id);
+        const known = await this.lookUp(spec.id);
         if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, fresh: false };
         return admission === null || known.kind === "unavailable" ? { kind: "unavailable" } : admission;
       }
       const record: JobRecord = { spec, shard: this.shardAssignment.shardFor(spec), acceptedAt: Date.now() };
-      const commit = await this.state.commit(
+      const commit = await this.state.compareAndSwap(
         [
           { key: keys.job(spec.id), version: 0 },
-          { key: keys.ended(spec.id), version: 0 },
+          { key: keys.endedJob(spec.id), version: 0 },
         ],
         [{ put: keys.job(spec.id), value: record }],
         "user",
         this.queueTimeoutMs,
       );
       if (commit.ok) return { kind: "accepted", stage: "pending", fresh: true };
-      const known = await this.look(spec.id);
+      const known = await this.lookUp(spec.id);
       if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, fresh: false };
       return { kind: "unavailable" };
     });
   }
 
-  async look(id: string): Promise<LookResult> {
+  async lookUp(id: string): Promise<JobLookup> {
     const final = this.ended.get(id);
     if (final !== undefined) return { kind: "found", status: endedStatus(id, final) };
-    return this.guarded(async (): Promise<LookResult> => {
+    return this.guarded(async (): Promise<JobLookup> => {
       // Another node may have told a later state than our copy shows: it catches up first.
-      await this.freshness.now();
+      await this.readBarrier.waitUntilCurrent();
       const entry = this.view.get(keys.job(id));
       // A job goes from live to ended in one step, so that looking in this order cannot miss it.
-      if (entry === undefined) return this.lookEnded(id);
+      if (entry === undefined) return this.lookUpEnded(id);
       const job = readJob(entry.value);
       if (job === null) return { kind: "unavailable" };
-      const counts = (await this.countsOf(job.shard, id)) ?? {
-        done: durablyDone(this.view, job.shard, id, job.spec.tasks),
+      const counts = (await this.taskCounts(job.shard, id)) ?? {
+        done: countDurablyDone(this.view, job.shard, id, job.spec.tasks),
         running: 0,
       };
       const done = Math.min(counts.done, job.spec.tasks);
@@ -109,24 +112,24 @@
     });
   }
 
-  async cancel(id: string): Promise<LookResult> {
-    return this.guarded(async (): Promise<LookResult> => {
-      for (let i = 0; i < CANCEL_TRIES; i++) {
+  async cancel(id: string): Promise<JobLookup> {
+    return this.guarded(async (): Promise<JobLookup> => {
+      for (let i = 0; i < MAX_CANCEL_ATTEMPTS; i++) {
         const entry = await this.state.read(keys.job(id));
-        if (entry === null) return this.lookEnded(id);
+        if (entry === null) return this.lookUpEnded(id);
         const job = readJob(entry.value);
-        const done = job === null ? 0 : durablyDone(this.view, job.shard, id, job.spec.tasks);
+        const done = job === null ? 0 : countDurablyDone(this.view, job.shard, id, job.spec.tasks);
         const ended: EndedRecord = { stage: "cancelled", done };
         // Whoever changes the job's record first wins: a completion on its way then fails, or this does.
-        const commit = await this.state.commit(
+        const commit = await this.state.compareAndSwap(
           [{ key: keys.job(id), version: entry.version }],
-          [{ put: keys.ended(id), value: ended }, { remove: keys.job(id) }],
+          [{ put: keys.endedJob(id), value: ended }, { remove: keys.job(id) }],
           "user",
           this.queueTimeoutMs,
         );
         if (!commit.ok) continue;
         this.log.info({ job: id, shard: job?.shard, revision: commit.revision }, "job cancelled");
-        if (job !== null) this.tellCancelled(job.shard, id);
+        if (job !== null) this.notifyOwnerOfCancellation(job.shard, id);
         this.ended.set(id, ended);
         return { kind: "found", status: endedStatus(id, ended) };
       }
@@ -134,10 +137,10 @@
     });
   }
 
-  private async lookEnded(id: string): Promise<LookResult> {
+  private async lookUpEnded(id: string): Promise<JobLookup> {
     const known = this.ended.get(id);
     if (known !== undefined) return { kind: "found", status: endedStatus(id, known) };
-    const entry = await this.state.read(keys.ended(id));
+    const entry = await this.state.read(keys.endedJob(id));
     if (entry === null) return { kind: "unknown" };
     const ended = readEnded(entry.value);
     if (ended === null) return { kind: "unavailable" };
@@ -149,7 +152,7 @@
     try {
       return await work();
     } catch (err) {
-      if (!(err instanceof StateFailure)) throw err;
+      if (!(err instanceof StateStoreError)) throw err;
       this.log.debug({ err: err.message }, "state service does not answer a user's request");
       return { kind: "unavailable" };
     }
--- a/src/jobs/progress.ts
+++ b/src/jobs/progress-pages.ts
@@ -4,13 +4,13 @@
  */
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
-import { Bits } from "./bits.js";
-import { readDone, readProgress } from "./records.js";
+import { Bitmap } from "./bitmap.js";
+import { readCompletedTasksChunk, readCompletedTasksPage } from "./job-records.js";
 
 /** A job that would fill more than this part of a record has records of its own. */
-const LARGE = 1 / 8;
+const MAX_SHARED_FRACTION = 1 / 8;
 /** A record is filled up to this part: names and marks around the bits take room as well. */
-const FULL = 3 / 4;
+const PAGE_FILL_FRACTION = 3 / 4;
 
 /** Which completed tasks of which jobs of a shard lie in which shared record. */
 export class ProgressPages {
@@ -20,8 +20,8 @@
   constructor(private readonly valueBytes: number) {}
 
   /** Whether a job of so many tasks shards a record with others. */
-  holds(tasks: number): boolean {
-    return (tasks / 8) * (4 / 3) <= this.valueBytes * LARGE;
+  sharesPages(tasks: number): boolean {
+    return (tasks / 8) * (4 / 3) <= this.valueBytes * MAX_SHARED_FRACTION;
   }
 
   /** Takes in a page as the records have it. */
@@ -37,7 +37,7 @@
   }
 
   /** A job that is over leaves its page, which is written without it the next time. */
-  drop(id: string): void {
+  remove(id: string): void {
     const page = this.pageOf.get(id);
     if (page === undefined) return;
     this.pages[page]?.delete(id);
@@ -59,20 +59,20 @@
     for (let page = 0; ; page++) {
       let size = 0;
       for (const [id, bits] of this.pages[page] ?? []) size += id.length + bits.length + marks;
-      if (size + bytes + marks <= this.valueBytes * FULL) return page;
+      if (size + bytes + marks <= this.valueBytes * PAGE_FILL_FRACTION) return page;
     }
   }
 }
 
 /** How many of a job's tasks the records show completed. */
-export function durablyDone(view: ReplicaView, shard: number, id: string, tasks: number): number {
-  const bits = new Bits(tasks);
-  for (const entry of view.under(`${prefixes.done}${shard}/`)) {
-    const text = readProgress(entry.value)?.[id];
+export function countDurablyDone(view: ReplicaView, shard: number, id: string, tasks: number): number {
+  const bits = new Bitmap(tasks);
+  for (const entry of view.list(`${prefixes.completedTasks}${shard}/`)) {
+    const text = readCompletedTasksPage(entry.value)?.[id];
     if (text !== undefined) bits.mergeChunk(0, text);
   }
   for (let chunk = 0; ; chunk++) {
-    const text = readDone(view.get(keys.done(id, chunk))?.value);
+    const text = readCompletedTasksChunk(view.get(keys.completedTasksChunk(id, chunk))?.value);
     if (text === null) return bits.count;
     bits.mergeChunk(chunk, text);
   }
--- a/src/jobs/shard-assignment.ts
+++ b/src/jobs/shard-assignment.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from "../wire/index.js";
 
 /** How a shard stands, in processors. */
-export interface Load {
+export interface ShardPressure {
   capacity: number;
   /** What waits beyond what is free; negative where room is left. */
   backlog: number;
@@ -16,7 +16,7 @@
  * owners could keep one limit.
  */
 export class ShardAssignment {
-  private readonly loads = new Map<number, Load>();
+  private readonly loads = new Map<number, ShardPressure>();
 
   constructor(
     private readonly teams: Team[],
@@ -24,12 +24,12 @@
   ) {}
 
   /** Whether new jobs go by the shards' loads, so that all nodes need to know them. */
-  get byLoad(): boolean {
+  get balancesByLoad(): boolean {
     const [only, ...others] = this.teams;
     return only !== undefined && others.length === 0 && only.cpusMax === 0 && only.gpusMax === 0;
   }
 
-  note(shard: number, load: Load): void {
+  recordLoad(shard: number, load: ShardPressure): void {
     this.loads.set(shard, { ...load });
   }
 
@@ -38,7 +38,7 @@
       const index = this.teams.findIndex((t) => t.name === spec.team);
       return Math.max(0, index) % this.shards;
     }
-    if (!this.byLoad) return 0;
+    if (!this.balancesByLoad) return 0;
     const hash = createHash("sha1").update(spec.id).digest().readUInt32BE(0) % this.shards;
     let best = hash;
     // Guards against half of the fleet standing open while a queue waits: a machine with one task cannot move.
--- a/src/links/monitor.ts
+++ b/src/links/monitor.ts
@@ -15,7 +15,7 @@
 import { peerLink, type DirectionReport, type LinkName, type Observation } from "./model.js";
 import { ACTIVITIES, NORMAL_RULES, rulesWithout, type Activity, type Loss, type Rules } from "./policy.js";
 import { ProbeBudget, type ProbeRates } from "./probes.js";
-import { ReportRate } from "./report-rate.js";
+import { ReportRate } from "./heartbeat-rate.js";
 import {
   decideRemedies,
   hasLostWorkers,
--- a/src/links/observed-calls.ts
+++ b/src/links/observed-calls.ts
@@ -1,6 +1,6 @@
 /** Lets the link monitor see calls that are made anyway, without changing them. */
 import type { SteadyClock } from "../runtime/clock.js";
-import { NoAnswer, type HttpAnswer, type JsonCalls } from "../runtime/http-client.js";
+import { NoResponseError, type JsonResponse, type JsonClient } from "../runtime/json-client.js";
 import type { LinkName, ObservationSink } from "./model.js";
 
 const UNAVAILABLE = 503;
@@ -9,7 +9,7 @@
 const LATE_TIMEOUT = 1.25;
 
 /** Whether an answer says that the service will not serve. */
-export type RefusalCheck = (answer: HttpAnswer) => boolean;
+export type RefusalCheck = (answer: JsonResponse) => boolean;
 
 /** The state service refuses with 503 and does not execute the request. */
 export const isUnavailable: RefusalCheck = ({ status }) => status === UNAVAILABLE;
@@ -29,13 +29,13 @@
 }
 
 /** Calls whose outcomes are told to the monitor. */
-export class ObservedCalls implements JsonCalls {
+export class ObservedCalls implements JsonClient {
   constructor(
-    private readonly calls: JsonCalls,
+    private readonly calls: JsonClient,
     private readonly options: ObservedCallsOptions,
   ) {}
 
-  async call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
+  async call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
     const { link, refused, sink, clock, timed } = this.options;
     const sentAt = clock();
     try {
@@ -45,7 +45,7 @@
       return answer;
     } catch (err) {
       const wasBusy = clock() - sentAt > LATE_TIMEOUT * timeoutMs;
-      if (err instanceof NoAnswer && !wasBusy) sink({ kind: "unanswered", link });
+      if (err instanceof NoResponseError && !wasBusy) sink({ kind: "unanswered", link });
       throw err;
     }
   }
--- a/src/links/probes.ts
+++ b/src/links/probes.ts
@@ -2,7 +2,7 @@
  * Which quiet links to probe, within budgets that are ratios to the settings. The state service is never quiet, since the
  * membership lease is renewed all the time; workers and users come by themselves.
  */
-import { Budget } from "../runtime/budget.js";
+import { TokenBucket } from "../runtime/token-bucket.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { LinkName } from "./model.js";
 
@@ -18,19 +18,19 @@
 
 /** Hands out the right to probe. */
 export class ProbeBudget {
-  private readonly cloud: Budget;
+  private readonly cloud: TokenBucket;
   private readonly peerProbedAt = new Map<LinkName, number>();
 
   constructor(
     private readonly rates: ProbeRates,
     private readonly clock: SteadyClock,
   ) {
-    this.cloud = new Budget((rates.cloudRps * rates.share) / rates.controllers, 1, clock);
+    this.cloud = new TokenBucket((rates.cloudRps * rates.share) / rates.controllers, 1, clock);
   }
 
   /** Whether this link may be probed now; the right is used up by asking. */
   tryTake(link: LinkName): boolean {
-    if (link === "cloud") return this.cloud.tryTake(1);
+    if (link === "cloud") return this.cloud.tryAcquire(1);
     if (!link.startsWith("peer:")) return false;
     const now = this.clock();
     if (now - (this.peerProbedAt.get(link) ?? -Infinity) < this.rates.peerSpacingMs) return false;
--- a/src/main.ts
+++ b/src/main.ts
@@ -4,11 +4,11 @@
 import { Command } from "commander";
 import { readOperatorSettings } from "./config/operator.js";
 import { parseSettings, readText, SettingsError, type Settings } from "./config/settings.js";
-import { Controller } from "./controller.js";
-import { collectLinkReports, linkExitCode, linkTable } from "./link-report.js";
-import { Peers } from "./peers/network.js";
+import { Controller } from "./controller/controller.js";
+import { collectLinkReports, linkExitCode, linkTable } from "./cli/link-report.js";
+import { TcpPeerNetwork } from "./peers/network.js";
 import { createLogger } from "./runtime/log.js";
-import { peerTimeoutMs } from "./timings.js";
+import { peerTimeoutMs } from "./controller/timings.js";
 
 /** The exit code for settings that cannot be used. */
 const BAD_SETTINGS = 2;
@@ -53,7 +53,7 @@
 async function printLinks(settings: Settings, asJson: boolean): Promise<void> {
   const own = { node: settings.node, address: settings.peerListen };
   const timeoutMs = peerTimeoutMs(settings);
-  const network = new Peers([own, ...settings.peers], timeoutMs, createLogger(settings.node));
+  const network = new TcpPeerNetwork([own, ...settings.peers], timeoutMs, createLogger(settings.node));
   const reports = await collectLinkReports(settings, network);
   network.close();
   const text = asJson ? JSON.stringify(reports, null, 2) : await linkTable(reports);
--- a/src/membership/records.ts
+++ b/src/membership/cluster-records.ts
@@ -3,16 +3,16 @@
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 
-const who = z.object({ node: z.string(), incarnation: z.string(), mark: z.string().optional() });
+const controllerSchema = z.object({ node: z.string(), incarnation: z.string(), mark: z.string().optional() });
 
 /** One life of a controller: its node and a name made at its start. */
-export interface Process {
+export interface ControllerInstance {
   node: string;
   incarnation: string;
 }
 
 /** A process as a record names it, and the version of that record. */
-export interface ProcessRecord extends Process {
+export interface ControllerRecord extends ControllerInstance {
   version: number;
   /** Which raise of a shard's token wrote it, if one did. */
   mark?: string | undefined;
@@ -20,49 +20,49 @@
 
 /** Who is a member, who leads and who owns which shard, at one revision. */
 export interface Cluster {
-  members: Map<string, ProcessRecord>;
-  leader: ProcessRecord | null;
+  members: Map<string, ControllerRecord>;
+  leader: ControllerRecord | null;
   /** By shard; null where nobody has ever owned it. */
-  shards: (ProcessRecord | null)[];
+  shards: (ControllerRecord | null)[];
 }
 
-function processRecord(view: ReplicaView, key: string): ProcessRecord | null {
+function readControllerRecord(view: ReplicaView, key: string): ControllerRecord | null {
   const entry = view.get(key);
-  const parsed = who.safeParse(entry?.value);
+  const parsed = controllerSchema.safeParse(entry?.value);
   return entry === undefined || !parsed.success ? null : { ...parsed.data, version: entry.version };
 }
 
 /** Reads the ownership records out of a replica. */
 export function readCluster(view: ReplicaView, shards: number): Cluster {
-  const members = new Map<string, ProcessRecord>();
-  for (const entry of view.under(prefixes.members)) {
-    const member = processRecord(view, entry.key);
+  const members = new Map<string, ControllerRecord>();
+  for (const entry of view.list(prefixes.members)) {
+    const member = readControllerRecord(view, entry.key);
     if (member !== null) members.set(member.node, member);
   }
   return {
     members,
-    leader: processRecord(view, keys.leader),
-    shards: Array.from({ length: shards }, (_, n) => processRecord(view, keys.shard(n))),
+    leader: readControllerRecord(view, keys.leader),
+    shards: Array.from({ length: shards }, (_, n) => readControllerRecord(view, keys.shard(n))),
   };
 }
 
 /** Whether a shard has gone from one live node to another in between. */
-export function passedOn(before: Cluster, now: Cluster): boolean {
+export function hasShardHandOver(before: Cluster, now: Cluster): boolean {
   return before.shards.some((shard, n) => {
     const owner = now.shards[n]?.node;
     return shard !== null && owner !== undefined && owner !== shard.node && now.members.has(shard.node);
   });
 }
 
-export const sameProcess = (a: Process | null | undefined, b: Process): boolean =>
+export const isSameInstance = (a: ControllerInstance | null | undefined, b: ControllerInstance): boolean =>
   a?.node === b.node && a.incarnation === b.incarnation;
 
 /** A change of a shard's record that its owner made itself, or meant to: the token rises, and the owner stays. */
 export interface TokenAdvance {
   /** The version that the change was made on the condition of. */
-  from: number;
+  fromVersion: number;
   /** A name that no other change bears. */
-  mark: string;
+  advanceId: string;
 }
 
 /**
@@ -71,11 +71,11 @@
  * another was in between. Only a change that it made itself, on the version that it knew, leaves no such gap. The
  * change is known by its mark, since the feed may show it before the write is answered, or without an answer ever.
  */
-export function sameTerm(
+export function continuesTerm(
   known: number,
-  now: Pick<ProcessRecord, "version" | "mark">,
+  now: Pick<ControllerRecord, "version" | "mark">,
   advance: TokenAdvance | undefined,
 ): boolean {
   if (now.version === known) return true;
-  return advance?.from === known && advance.mark === now.mark;
+  return advance?.fromVersion === known && advance.advanceId === now.mark;
 }
--- a/src/membership/decide.ts
+++ b/src/membership/membership-planner.ts
@@ -1,62 +1,67 @@
 /** What a controller should do about leadership and shards, from what the records say. Pure. */
 import { keys } from "../state/keys.js";
-import type { Guard, Write } from "../wire/index.js";
-import { sameProcess, type Cluster, type ProcessRecord, type Process } from "./records.js";
+import type { Condition, Write } from "../wire/index.js";
+import {
+  isSameInstance,
+  type Cluster,
+  type ControllerRecord,
+  type ControllerInstance,
+} from "./cluster-records.js";
 
 /** A step towards a leader and an owner for every shard. */
 export type MembershipAction =
-  | { kind: "lead"; over: ProcessRecord | null }
-  | { kind: "resume"; shard: number; from: ProcessRecord }
-  | { kind: "assign"; shard: number; from: ProcessRecord | null; to: ProcessRecord }
+  | { kind: "lead"; over: ControllerRecord | null }
+  | { kind: "resume"; shard: number; from: ControllerRecord }
+  | { kind: "assign"; shard: number; from: ControllerRecord | null; to: ControllerRecord }
   | { kind: "ask_hand_over"; shard: number; owner: string; to: string };
 
 /** All that a decision on membership is made on. */
 export interface MembershipView {
-  me: Process;
+  self: ControllerInstance;
   cluster: Cluster;
   controllers: number;
   /** How long this process has led; 0 if it does not. */
-  ledMs: number;
+  leadingForMs: number;
   /** How long the leader waits for the others before it gives out shards that nobody has ever owned. */
-  gatherMs: number;
+  bootstrapGraceMs: number;
   /** Whether the shard period has passed since the last move. */
   mayMove: boolean;
   /** Whether this process may take vacant leadership: not soon after it has given it up for another's sake. */
   mayLead: boolean;
   /** Whether a controller is known not to be reached by workers: it gets shards only if all are. */
-  unsuited: (node: string) => boolean;
+  isCutOffFromWorkers: (node: string) => boolean;
 }
 
 /** What this process should try to change in the records of who leads and owns. */
-export function decideMembership(view: MembershipView): MembershipAction[] {
-  const { me, cluster } = view;
+export function planMembership(view: MembershipView): MembershipAction[] {
+  const { self: me, cluster } = view;
   const actions: MembershipAction[] = [];
   // Guards against losing the time of a whole membership lease: a process that came back knows that its old self is dead.
-  const ownOldSelf = cluster.leader?.node === me.node && !sameProcess(cluster.leader, me);
+  const ownOldSelf = cluster.leader?.node === me.node && !isSameInstance(cluster.leader, me);
   if ((cluster.leader === null && view.mayLead) || ownOldSelf)
     actions.push({ kind: "lead", over: cluster.leader });
   cluster.shards.forEach((shard, n) => {
-    if (shard !== null && shard.node === me.node && !sameProcess(shard, me))
+    if (shard !== null && shard.node === me.node && !isSameInstance(shard, me))
       actions.push({ kind: "resume", shard: n, from: shard });
   });
-  if (sameProcess(cluster.leader, me)) actions.push(...decideAsLeader(view));
+  if (isSameInstance(cluster.leader, me)) actions.push(...planAsLeader(view));
   return actions;
 }
 
-function decideAsLeader(view: MembershipView): MembershipAction[] {
+function planAsLeader(view: MembershipView): MembershipAction[] {
   const { cluster } = view;
   const members = [...cluster.members.values()].sort((a, b) => (a.node < b.node ? -1 : 1));
   if (members.length === 0) return [];
-  const suited = members.filter((member) => !view.unsuited(member.node));
+  const suited = members.filter((member) => !view.isCutOffFromWorkers(member.node));
   const heirs = suited.length > 0 ? suited : members;
   const load = new Map(members.map((m) => [m.node, 0]));
   for (const shard of cluster.shards) {
     const count = shard === null ? undefined : load.get(shard.node);
     if (shard !== null && count !== undefined) load.set(shard.node, count + 1);
   }
-  const byLoad = (): ProcessRecord[] => [...heirs].sort((a, b) => load.get(a.node)! - load.get(b.node)!);
+  const byLoad = (): ControllerRecord[] => [...heirs].sort((a, b) => load.get(a.node)! - load.get(b.node)!);
   const actions: MembershipAction[] = [];
-  const gathered = members.length >= view.controllers || view.ledMs >= view.gatherMs;
+  const gathered = members.length >= view.controllers || view.leadingForMs >= view.bootstrapGraceMs;
   cluster.shards.forEach((shard, n) => {
     const orphan = shard === null ? gathered : !cluster.members.has(shard.node);
     if (!orphan) return;
@@ -76,15 +81,34 @@
 }
 
 /** A conditional write of ownership records. */
-export interface OwnershipTransaction {
-  guards: Guard[];
+export interface ConditionalTransaction {
+  conditions: Condition[];
   writes: Write[];
 }
 
 /** An entry among the members: the guard keeps a late copy of an older self's entry from overwriting this one. */
-export function entryOf(me: Process, lease: number, knownVersion: number): OwnershipTransaction {
+export function joinTransaction(
+  me: ControllerInstance,
+  lease: number,
+  knownVersion: number,
+): ConditionalTransaction {
   const key = keys.member(me.node);
-  return { guards: [{ key, version: knownVersion }], writes: [{ put: key, value: me, lease }] };
+  return { conditions: [{ key, version: knownVersion }], writes: [{ put: key, value: me, lease }] };
+}
+
+/** Passes a shard to a member that is still the one it was chosen as; `record` is the shard's record as it is known. */
+export function handOverTransaction(
+  shard: number,
+  record: ControllerRecord,
+  successor: ControllerRecord,
+): ConditionalTransaction {
+  const key = keys.shard(shard);
+  const conditions = [
+    { key, version: record.version },
+    { key: keys.member(successor.node), version: successor.version },
+  ];
+  const value: ControllerInstance = { node: successor.node, incarnation: successor.incarnation };
+  return { conditions, writes: [{ put: key, value }] };
 }
 
 /**
@@ -93,19 +117,19 @@
  */
 export function transactionFor(
   action: Exclude<MembershipAction, { kind: "ask_hand_over" }>,
-  me: Process,
+  me: ControllerInstance,
   lease: number,
   cluster: Cluster,
-): OwnershipTransaction {
+): ConditionalTransaction {
   switch (action.kind) {
     case "lead":
       return {
-        guards: [{ key: keys.leader, version: action.over?.version ?? 0 }],
+        conditions: [{ key: keys.leader, version: action.over?.version ?? 0 }],
         writes: [{ put: keys.leader, value: me, lease }],
       };
     case "resume": {
       const key = keys.shard(action.shard);
-      return { guards: [{ key, version: action.from.version }], writes: [{ put: key, value: me }] };
+      return { conditions: [{ key, version: action.from.version }], writes: [{ put: key, value: me }] };
     }
     case "assign": {
       const { shard, from, to } = action;
@@ -117,8 +141,8 @@
       ];
       // The old owner's lease must be over *when this is applied*; it counts the lease as over before that.
       if (from !== null) guards.push({ key: keys.member(from.node), version: 0 });
-      const value: Process = { node: to.node, incarnation: to.incarnation };
-      return { guards, writes: [{ put: key, value }] };
+      const value: ControllerInstance = { node: to.node, incarnation: to.incarnation };
+      return { conditions: guards, writes: [{ put: key, value }] };
     }
   }
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -5,53 +5,34 @@
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
-import { sleep } from "../runtime/wait.js";
+import { sleep } from "../runtime/sleep.js";
 import { keys } from "../state/keys.js";
-import { StateFailure, type StateClient } from "../state/client.js";
+import { receivedResponse, StateStoreError, type StateStoreClient } from "../state/state-store-client.js";
 import type { ReplicaView } from "../state/replica.js";
+import type { MembershipCallbacks, MembershipMessage, MembershipTimings } from "./membership-messages.js";
 import { CLOCK_DRIFT } from "../wire/index.js";
-import { decideAuthority, leaseRefusal, type Authority, type LeaseEvidence } from "./authority.js";
-import { transactionFor, decideMembership, entryOf, type MembershipAction } from "./decide.js";
 import {
-  passedOn,
+  decideShardAuthority,
+  leaseRefusal,
+  type ShardAuthority,
+  type LeaseEvidence,
+} from "./shard-authority.js";
+import {
+  handOverTransaction,
+  transactionFor,
+  planMembership,
+  joinTransaction,
+  type MembershipAction,
+} from "./membership-planner.js";
+import {
+  hasShardHandOver,
   readCluster,
-  sameProcess,
-  sameTerm,
+  isSameInstance,
+  continuesTerm,
   type Cluster,
-  type Process,
+  type ControllerInstance,
   type TokenAdvance,
-} from "./records.js";
-
-/** Durations that membership goes by, in milliseconds. */
-export interface MembershipFigures {
-  /** How long the state service keeps this process's records without a renewal. */
-  membershipLeaseMs: number;
-  /** What is taken off the lease on this side: drift, and time between a check and the act. */
-  marginMs: number;
-  /** The oldest view of the records on which a worker's lease may still be renewed. */
-  staleMs: number;
-  shardMovePeriodMs: number;
-}
-
-/** What the membership actor is told. */
-export type MembershipMessage =
-  | { kind: "tick" }
-  | { kind: "records" }
-  | { kind: "lease_ended" }
-  | { kind: "acted" }
-  | { kind: "advance_token"; shard: number }
-  | { kind: "hand_over"; shard: number; to: string }
-  /** Another controller is better placed to lead. */
-  | { kind: "resign" };
-
-/** What membership needs of the rest of the process. */
-export interface MembershipHooks {
-  /** Which shards this process owns may have changed. */
-  ownership(): void;
-  askHandOver(owner: string, shard: number, to: string): void;
-  /** Whether a controller is known not to be reached by workers. */
-  unsuited(node: string): boolean;
-}
+} from "./cluster-records.js";
 
 /** So many membership leases a process that gave leadership up leaves it to others. */
 const ABSTAIN_LEASES = 2;
@@ -59,42 +40,39 @@
 /** How many renewals may be under way at once. */
 const MAX_RENEWALS = 3;
 
-/** A refusal is an answer, too. */
-const isAnswered = (err: unknown): boolean => err instanceof StateFailure && err.status !== 0;
-
 /** Maintains this process's lease and tells what it may act for right now. */
 export class Membership extends Actor<MembershipMessage> {
   cluster: Cluster;
-  private lease: number | null = null;
+  private leaseId: number | null = null;
   private leaseValidUntil = -Infinity;
   /** The revision at which this process last entered the records: older views say nothing about what it owns. */
-  private enteredAt = Infinity;
-  private entering = false;
+  private joinedAtRevision = Infinity;
+  private joining = false;
   /** Renewals without an answer so far: a slow service must not keep the next one from being sent. */
-  private renewing = 0;
-  private lastRenewal = -Infinity;
+  private pendingRenewals = 0;
+  private lastRenewalAt = -Infinity;
   /** Whether the latest renewal that ended got no answer, so that the service may have renewed the lease all the same. */
   private renewalUnanswered = false;
-  private ledSince: number | null = null;
-  private lastMove = -Infinity;
+  private leadingSince: number | null = null;
+  private lastHandOverAt = -Infinity;
   private abstainsUntil = -Infinity;
-  private busy = false;
+  private transactionPending = false;
   /** A shard to be passed on as soon as nothing else is under way. */
-  private askedHandOver: { shard: number; to: string } | null = null;
+  private requestedHandOver: { shard: number; to: string } | null = null;
   /** The last time that this process advanced a shard's token itself. */
   private readonly tokenAdvances = new Map<number, TokenAdvance>();
   /** Shards that this process has stepped back from while it passes them on. */
-  private readonly released = new Set<number>();
+  private readonly relinquishedShards = new Set<number>();
 
   constructor(
-    readonly me: Process,
+    readonly self: ControllerInstance,
     private readonly shards: number,
     private readonly controllers: number,
-    private readonly figures: MembershipFigures,
-    private readonly state: StateClient,
+    private readonly timings: MembershipTimings,
+    private readonly state: StateStoreClient,
     private readonly view: ReplicaView,
     private readonly clock: SteadyClock,
-    private readonly hooks: MembershipHooks,
+    private readonly callbacks: MembershipCallbacks,
     log: Logger,
   ) {
     super(log);
@@ -102,10 +80,14 @@
   }
 
   /** Whether this process may act for a shard right now, and on what evidence. */
-  authority(shard: number): Authority {
+  authority(shard: number): ShardAuthority {
     const record = this.cluster.shards[shard];
-    const token = record && sameProcess(record, this.me) ? record.version : null;
-    return decideAuthority({ ...this.leaseEvidence(), token, passingOn: this.released.has(shard) });
+    const token = record && isSameInstance(record, this.self) ? record.version : null;
+    return decideShardAuthority({
+      ...this.leaseEvidence(),
+      token,
+      handingOver: this.relinquishedShards.has(shard),
+    });
   }
 
   /** The token of a shard, if this process may act for it right now; otherwise null. */
@@ -115,14 +97,16 @@
   }
 
   /** Whether what an owner knew of its shard at a version is still true at the present one. */
-  continues(shard: number, known: number): boolean {
+  continuesTerm(shard: number, known: number): boolean {
     const record = this.cluster.shards[shard];
-    return record !== null && record !== undefined && sameTerm(known, record, this.tokenAdvances.get(shard));
+    return (
+      record !== null && record !== undefined && continuesTerm(known, record, this.tokenAdvances.get(shard))
+    );
   }
 
   /** Whether this process leads right now, and the version of the record that says so. */
   leadership(): number | null {
-    return sameProcess(this.cluster.leader, this.me) && this.holdsLease()
+    return isSameInstance(this.cluster.leader, this.self) && this.holdsLease()
       ? this.cluster.leader!.version
       : null;
   }
@@ -142,9 +126,9 @@
     const now = this.clock();
     return {
       leaseLeftMs: this.leaseValidUntil - now,
-      viewAgeMs: now - this.view.asOf,
-      viewShowsEntry: this.view.revision >= this.enteredAt,
-      staleMs: this.figures.staleMs,
+      viewAgeMs: now - this.view.completeAsOf,
+      viewShowsJoin: this.view.revision >= this.joinedAtRevision,
+      staleMs: this.timings.staleMs,
     };
   }
 
@@ -156,29 +140,29 @@
     switch (message.kind) {
       case "tick":
         this.maintainLease();
-        this.act();
+        this.takeActions();
         return;
-      case "records":
-        this.follow(readCluster(this.view, this.shards));
-        this.noteChanges();
-        this.act();
+      case "records_changed":
+        this.updateCluster(readCluster(this.view, this.shards));
+        this.handleClusterChange();
+        this.takeActions();
         return;
       case "lease_ended":
-        this.lease = null;
+        this.leaseId = null;
         this.leaseValidUntil = -Infinity;
         this.maintainLease();
         return;
-      case "acted":
-        this.busy = false;
-        this.handOverAsked();
+      case "transaction_ended":
+        this.transactionPending = false;
+        this.startRequestedHandOver();
         return;
       case "advance_token":
         void this.advanceToken(message.shard);
         return;
       case "hand_over":
         // Guards against a leader that owns every shard and never passes one on: it asks itself in the middle of acting.
-        this.askedHandOver = { shard: message.shard, to: message.to };
-        this.handOverAsked();
+        this.requestedHandOver = { shard: message.shard, to: message.to };
+        this.startRequestedHandOver();
         return;
       case "resign":
         void this.resign();
@@ -186,42 +170,47 @@
     }
   }
 
-  private follow(cluster: Cluster): void {
+  private updateCluster(cluster: Cluster): void {
     // Guards against giving a shard straight back to a node that has just passed it on: every move counts for the period.
-    if (passedOn(this.cluster, cluster)) this.lastMove = this.clock();
+    if (hasShardHandOver(this.cluster, cluster)) this.lastHandOverAt = this.clock();
     this.cluster = cluster;
   }
 
-  private noteChanges(): void {
-    const leads = sameProcess(this.cluster.leader, this.me);
-    if (leads && this.ledSince === null) {
-      this.ledSince = this.clock();
+  private handleClusterChange(): void {
+    const leads = isSameInstance(this.cluster.leader, this.self);
+    if (leads && this.leadingSince === null) {
+      this.leadingSince = this.clock();
       this.log.info({ token: this.cluster.leader?.version }, "leading");
     } else if (!leads) {
-      if (this.ledSince !== null) this.log.info({ leader: this.leader() }, "no longer leading");
-      this.ledSince = null;
+      if (this.leadingSince !== null) this.log.info({ leader: this.leader() }, "no longer leading");
+      this.leadingSince = null;
     }
     // A shard that another owns by now has been passed on; should it come back, it starts afresh.
-    for (const shard of this.released)
-      if (!sameProcess(this.cluster.shards[shard], this.me)) this.released.delete(shard);
-    const member = this.cluster.members.get(this.me.node);
-    if (this.lease !== null && this.view.revision >= this.enteredAt && !sameProcess(member, this.me)) {
+    for (const shard of this.relinquishedShards)
+      if (!isSameInstance(this.cluster.shards[shard], this.self)) this.relinquishedShards.delete(shard);
+    const member = this.cluster.members.get(this.self.node);
+    if (
+      this.leaseId !== null &&
+      this.view.revision >= this.joinedAtRevision &&
+      !isSameInstance(member, this.self)
+    ) {
       // The record is gone although we renewed: the service has dropped the lease, so nothing is owned any more.
       this.log.info("membership record is gone");
       this.tell({ kind: "lease_ended" });
     }
-    this.hooks.ownership();
+    this.callbacks.onOwnershipChanged();
   }
 
   private maintainLease(): void {
-    if (this.lease === null) {
-      if (!this.entering) void this.enter();
+    if (this.leaseId === null) {
+      if (!this.joining) void this.join();
       return;
     }
     const now = this.clock();
-    if (this.renewing >= MAX_RENEWALS || now - this.lastRenewal < this.figures.membershipLeaseMs / 5) return;
-    if (this.renewalUnanswered && now >= this.leaseValidUntil) void this.awaitAnswer();
-    else void this.renew(this.lease);
+    if (this.pendingRenewals >= MAX_RENEWALS || now - this.lastRenewalAt < this.timings.membershipLeaseMs / 5)
+      return;
+    if (this.renewalUnanswered && now >= this.leaseValidUntil) void this.awaitStateStore();
+    else void this.renew(this.leaseId);
   }
 
   /**
@@ -229,107 +218,107 @@
    * do not come back, each renewal would keep the lease from ending, and nobody could take its shards over. Once the lease
    * can no longer be proven here it is left to end, until some answer shows that renewing it can be proven again.
    */
-  private async awaitAnswer(): Promise<void> {
-    this.renewing++;
-    this.lastRenewal = this.clock();
+  private async awaitStateStore(): Promise<void> {
+    this.pendingRenewals++;
+    this.lastRenewalAt = this.clock();
     try {
-      await this.state.revision();
+      await this.state.currentRevision();
       this.renewalUnanswered = false;
     } catch (err) {
-      this.renewalUnanswered = !isAnswered(err);
+      this.renewalUnanswered = !receivedResponse(err);
     } finally {
-      this.renewing--;
+      this.pendingRenewals--;
     }
-    if (!this.renewalUnanswered) this.lastRenewal = -Infinity;
+    if (!this.renewalUnanswered) this.lastRenewalAt = -Infinity;
   }
 
-  private validFrom(sentAt: number): number {
-    return sentAt + this.figures.membershipLeaseMs * (1 - CLOCK_DRIFT) - this.figures.marginMs;
+  private leaseExpiryFrom(sentAt: number): number {
+    return sentAt + this.timings.membershipLeaseMs * (1 - CLOCK_DRIFT) - this.timings.marginMs;
   }
 
-  private async enter(): Promise<void> {
-    this.entering = true;
+  private async join(): Promise<void> {
+    this.joining = true;
     try {
       const sentAt = this.clock();
-      const lease = await this.state.grant(this.figures.membershipLeaseMs);
-      const known = await this.state.read(keys.member(this.me.node));
-      const { guards, writes } = entryOf(this.me, lease, known?.version ?? 0);
-      const commit = await this.state.commit(guards, writes, "ownership");
+      const lease = await this.state.grantLease(this.timings.membershipLeaseMs);
+      const known = await this.state.read(keys.member(this.self.node));
+      const { conditions: guards, writes } = joinTransaction(this.self, lease, known?.version ?? 0);
+      const commit = await this.state.compareAndSwap(guards, writes, "ownership");
       if (!commit.ok) return;
-      this.lease = lease;
-      this.enteredAt = commit.revision;
-      this.leaseValidUntil = this.validFrom(sentAt);
-      this.lastRenewal = sentAt;
-      this.log.info({ incarnation: this.me.incarnation }, "entered");
+      this.leaseId = lease;
+      this.joinedAtRevision = commit.revision;
+      this.leaseValidUntil = this.leaseExpiryFrom(sentAt);
+      this.lastRenewalAt = sentAt;
+      this.log.info({ incarnation: this.self.incarnation }, "entered");
     } catch (err) {
       this.log.debug({ err: (err as Error).message }, "cannot enter yet");
     } finally {
-      this.entering = false;
+      this.joining = false;
     }
   }
 
   private async renew(lease: number): Promise<void> {
-    this.renewing++;
+    this.pendingRenewals++;
     const sentAt = this.clock();
-    this.lastRenewal = sentAt;
+    this.lastRenewalAt = sentAt;
     try {
-      const renewed = await this.state.renew(lease);
+      const renewed = await this.state.renewLease(lease);
       this.renewalUnanswered = false;
       if (renewed) {
-        this.leaseValidUntil = Math.max(this.leaseValidUntil, this.validFrom(sentAt));
-      } else if (lease === this.lease) {
+        this.leaseValidUntil = Math.max(this.leaseValidUntil, this.leaseExpiryFrom(sentAt));
+      } else if (lease === this.leaseId) {
         this.log.info("membership lease ended");
         this.tell({ kind: "lease_ended" });
       }
     } catch (err) {
       this.log.debug({ err: (err as Error).message }, "renewal failed");
-      this.renewalUnanswered = !isAnswered(err);
+      this.renewalUnanswered = !receivedResponse(err);
       // After an outage every lease has its full time again: the sooner it is proven, the sooner work goes on.
-      this.lastRenewal = Math.min(this.lastRenewal, sentAt - (this.figures.membershipLeaseMs * 3) / 20);
+      this.lastRenewalAt = Math.min(this.lastRenewalAt, sentAt - (this.timings.membershipLeaseMs * 3) / 20);
     } finally {
-      this.renewing--;
+      this.pendingRenewals--;
     }
   }
 
-  private act(): void {
-    if (this.busy || !this.holdsLease()) return;
+  private takeActions(): void {
+    if (this.transactionPending || !this.holdsLease()) return;
     const now = this.clock();
-    const actions = decideMembership({
-      me: this.me,
+    const actions = planMembership({
+      self: this.self,
       cluster: this.cluster,
       controllers: this.controllers,
-      ledMs: this.ledSince === null ? 0 : now - this.ledSince,
-      gatherMs: this.figures.membershipLeaseMs,
-      mayMove: now - this.lastMove >= this.figures.shardMovePeriodMs,
+      leadingForMs: this.leadingSince === null ? 0 : now - this.leadingSince,
+      bootstrapGraceMs: this.timings.membershipLeaseMs,
+      mayMove: now - this.lastHandOverAt >= this.timings.shardMovePeriodMs,
       mayLead: now >= this.abstainsUntil,
-      unsuited: (node) => this.hooks.unsuited(node),
+      isCutOffFromWorkers: (node) => this.callbacks.isCutOffFromWorkers(node),
     });
     if (actions.length === 0) return;
-    this.busy = true;
-    void this.perform(actions);
+    this.transactionPending = true;
+    void this.performAll(actions);
   }
 
-  private async perform(actions: MembershipAction[]): Promise<void> {
+  private async performAll(actions: MembershipAction[]): Promise<void> {
     for (const action of actions) {
       try {
-        await this.performOne(action);
+        await this.performAction(action);
       } catch (err) {
-        if (!(err instanceof StateFailure)) this.log.error({ err }, "membership action failed");
+        if (!(err instanceof StateStoreError)) this.log.error({ err }, "membership action failed");
         else this.log.debug({ err: err.message, action: action.kind }, "membership action failed");
       }
     }
-    this.tell({ kind: "acted" });
+    this.tell({ kind: "transaction_ended" });
   }
 
-  private async performOne(action: MembershipAction): Promise<void> {
+  private async performAction(action: MembershipAction): Promise<void> {
     if (action.kind === "ask_hand_over") {
-      this.lastMove = this.clock();
-      this.hooks.askHandOver(action.owner, action.shard, action.to);
+      this.lastHandOverAt = this.clock();
+      this.callbacks.requestHandOver(action.owner, action.shard, action.to);
       return;
     }
-    if (this.lease === null) return;
-    const { guards, writes } = transactionFor(action, this.me, this.lease, this.cluster);
-    const commit = await this.state.commit(guards, writes, "ownership");
+    if (this.leaseId === null) return;
+    const { conditions: guards, writes } = transactionFor(action, this.self, this.leaseId, this.cluster);
+    const commit = await this.state.compareAndSwap(guards, writes, "ownership");
     if (!commit.ok || action.kind !== "assign") return;
     const { shard, from, to } = action;
     this.log.info({ shard, from: from?.node, to: to.node, token: commit.revision }, "shard assigned");
@@ -338,16 +327,16 @@
   /** A worker has seen a higher token than this shard's, for example with a machine's former shard. */
   private async advanceToken(shard: number): Promise<void> {
     const record = this.cluster.shards[shard];
-    if (!record || this.token(shard) === null || this.busy) return;
-    this.busy = true;
+    if (!record || this.token(shard) === null || this.transactionPending) return;
+    this.transactionPending = true;
     // Guards against not knowing an earlier try's success: the feed may show it only after this one has failed.
     const earlier = this.tokenAdvances.get(shard);
-    const mark = earlier?.from === record.version ? earlier.mark : crypto.randomUUID();
-    this.tokenAdvances.set(shard, { from: record.version, mark });
+    const mark = earlier?.fromVersion === record.version ? earlier.advanceId : crypto.randomUUID();
+    this.tokenAdvances.set(shard, { fromVersion: record.version, advanceId: mark });
     try {
-      const commit = await this.state.commit(
+      const commit = await this.state.compareAndSwap(
         [{ key: keys.shard(shard), version: record.version }],
-        [{ put: keys.shard(shard), value: { ...this.me, mark } }],
+        [{ put: keys.shard(shard), value: { ...this.self, mark } }],
         "ownership",
       );
       if (!commit.ok) return;
@@ -355,7 +344,7 @@
     } catch (err) {
       this.log.debug({ err: (err as Error).message, shard }, "fencing token not advanced");
     } finally {
-      this.tell({ kind: "acted" });
+      this.tell({ kind: "transaction_ended" });
     }
   }
 
@@ -365,24 +354,24 @@
    */
   private async resign(): Promise<void> {
     const version = this.leadership();
-    if (version === null || this.busy) return;
-    this.busy = true;
-    this.abstainsUntil = this.clock() + ABSTAIN_LEASES * this.figures.membershipLeaseMs;
+    if (version === null || this.transactionPending) return;
+    this.transactionPending = true;
+    this.abstainsUntil = this.clock() + ABSTAIN_LEASES * this.timings.membershipLeaseMs;
     try {
       const guards = [{ key: keys.leader, version }];
-      const commit = await this.state.commit(guards, [{ remove: keys.leader }], "ownership");
+      const commit = await this.state.compareAndSwap(guards, [{ remove: keys.leader }], "ownership");
       if (commit.ok) this.log.info({ version }, "leadership given up");
     } catch (err) {
       this.log.debug({ err: (err as Error).message }, "leadership not known to be given up");
     } finally {
-      this.tell({ kind: "acted" });
+      this.tell({ kind: "transaction_ended" });
     }
   }
 
-  private handOverAsked(): void {
-    const asked = this.askedHandOver;
-    if (asked === null || this.busy) return;
-    this.askedHandOver = null;
+  private startRequestedHandOver(): void {
+    const asked = this.requestedHandOver;
+    if (asked === null || this.transactionPending) return;
+    this.requestedHandOver = null;
     void this.handOver(asked.shard, asked.to);
   }
 
@@ -391,37 +380,32 @@
     const record = this.cluster.shards[shard];
     const heir = this.cluster.members.get(to);
     if (!record || !heir || this.token(shard) === null) return;
-    this.busy = true;
-    this.released.add(shard);
-    const key = keys.shard(shard);
-    const guards = [
-      { key, version: record.version },
-      { key: keys.member(to), version: heir.version },
-    ];
-    const value: Process = { node: heir.node, incarnation: heir.incarnation };
+    this.transactionPending = true;
+    this.relinquishedShards.add(shard);
+    const { conditions, writes } = handOverTransaction(shard, record, heir);
     try {
-      const commit = await this.state.commit(guards, [{ put: key, value }], "ownership");
+      const commit = await this.state.compareAndSwap(conditions, writes, "ownership");
       if (commit.ok) this.log.info({ shard, to, token: commit.revision }, "shard handed over");
-      if (!commit.ok) this.released.delete(shard);
+      if (!commit.ok) this.relinquishedShards.delete(shard);
     } catch {
       // It may yet be applied. Only a newer version of the record, written by us, rules that out.
-      await this.settleRelease(shard);
+      await this.resolveRelinquishment(shard);
     }
-    this.tell({ kind: "acted" });
+    this.tell({ kind: "transaction_ended" });
   }
 
-  private async settleRelease(shard: number): Promise<void> {
+  private async resolveRelinquishment(shard: number): Promise<void> {
     const key = keys.shard(shard);
     for (let settled = false; !settled;) {
       try {
         const now = await this.state.read(key);
-        const owner = now?.value as Process | undefined;
-        if (now === null || !sameProcess(owner, this.me)) return;
+        const owner = now?.value as ControllerInstance | undefined;
+        if (now === null || !isSameInstance(owner, this.self)) return;
         const guards = [{ key, version: now.version }];
-        settled = (await this.state.commit(guards, [{ put: key, value: this.me }], "ownership")).ok;
-        if (settled) this.released.delete(shard);
+        settled = (await this.state.compareAndSwap(guards, [{ put: key, value: this.self }], "ownership")).ok;
+        if (settled) this.relinquishedShards.delete(shard);
       } catch {
-        await sleep(this.figures.marginMs);
+        await sleep(this.timings.marginMs);
       }
     }
   }
--- a/src/membership/authority.ts
+++ b/src/membership/shard-authority.ts
@@ -20,36 +20,41 @@
   leaseLeftMs: number;
   /** Since when the copy of the records is surely complete: the age of the request that it was read with. */
   viewAgeMs: number;
-  viewShowsEntry: boolean;
+  viewShowsJoin: boolean;
   /** The oldest copy on which a worker's lease may be renewed. */
   staleMs: number;
 }
 
 /** What a decision on a shard is made on. */
-export interface AuthorityEvidence extends LeaseEvidence {
+export interface ShardAuthorityEvidence extends LeaseEvidence {
   /** The version of the shard's record if it names this process. */
   token: number | null;
-  passingOn: boolean;
+  handingOver: boolean;
 }
 
 /** The right to act for a shard, or the reason why there is none. */
-export type Authority = { leaseLeftMs: number; viewAgeMs: number } & (
+export type ShardAuthority = { leaseLeftMs: number; viewAgeMs: number } & (
   { held: true; token: number } | { held: false; reason: AuthorityRefusal }
 );
 
 /** Why the lease and the copy of the records do not carry any decision; null where they do. */
 export function leaseRefusal(evidence: LeaseEvidence): AuthorityRefusal | null {
   if (evidence.leaseLeftMs <= 0) return "lease_over";
-  if (!evidence.viewShowsEntry) return "view_before_entry";
+  if (!evidence.viewShowsJoin) return "view_before_entry";
   // Guards against renewing leases for a task whose cancellation has not reached this process.
   if (evidence.viewAgeMs >= evidence.staleMs) return "view_too_old";
   return null;
 }
 
 /** Decides on the right to act for a shard. */
-export function decideAuthority(evidence: AuthorityEvidence): Authority {
-  const { token, passingOn, leaseLeftMs, viewAgeMs } = evidence;
-  const refused = (reason: AuthorityRefusal): Authority => ({ held: false, reason, leaseLeftMs, viewAgeMs });
+export function decideShardAuthority(evidence: ShardAuthorityEvidence): ShardAuthority {
+  const { token, handingOver: passingOn, leaseLeftMs, viewAgeMs } = evidence;
+  const refused = (reason: AuthorityRefusal): ShardAuthority => ({
+    held: false,
+    reason,
+    leaseLeftMs,
+    viewAgeMs,
+  });
   if (token === null) return refused("not_owner");
   if (passingOn) return refused("passing_on");
   const reason = leaseRefusal(evidence);
--- a/src/peers/framing.ts
+++ b/src/peers/framing.ts
@@ -15,7 +15,7 @@
 }
 
 /** Bytes in, frames out. A broken or oversize frame ends the stream with an error. */
-export class FrameReader extends Transform {
+export class FrameDecoder extends Transform {
   private pending: Buffer = Buffer.alloc(0);
 
   constructor() {
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -133,14 +133,14 @@
 }
 
 /** Where a machine is and what kind it is of. */
-export interface Place {
+export interface InstancePool {
   type: string;
   zone: string;
   spot: boolean;
 }
 
 /** Whether machines of a place are allowed for such tasks. */
-export function suits(demand: Demand, place: Place): boolean {
+export function allowsPool(demand: Demand, place: InstancePool): boolean {
   return (
     (demand.types.length === 0 || demand.types.includes(place.type)) &&
     (demand.zone === "" || demand.zone === place.zone) &&
@@ -176,34 +176,34 @@
 }
 
 /** Free room on one machine, and what kind of machine it is on. */
-export interface FreeRoom extends Place {
+export interface FreeCapacity extends InstancePool {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
 /** A job that has not begun and has waited for long, and what one task of it needs. */
-export interface WaitingJob {
+export interface MigrationCandidate {
   job: string;
   task: Demand;
   waitedMs: number;
 }
 
 /** What an owner tells the leader once a second. */
-export interface Summary extends ShardLoadReport {
+export interface ShardSummary extends ShardLoadReport {
   token: number;
   recovered: boolean;
   demand: Demand[];
   machines: MachineSummary[];
   /** The largest room of each market that nothing of this shard takes. */
-  rooms: FreeRoom[];
+  rooms: FreeCapacity[];
   /** Jobs that may pass to a shard with room for them, the longest waiting first. */
-  waiting: WaitingJob[];
+  waiting: MigrationCandidate[];
 }
 
 /** A request between controllers. */
 export type PeerRequest =
-  | { summary: Summary }
+  | { summary: ShardSummary }
   | { ping: Record<string, never> }
   | { drain: { shard: number; hosts: string[] } }
   | { give: { shard: number; to: number; hosts: string[] } }
--- a/src/peers/network.ts
+++ b/src/peers/network.ts
@@ -1,19 +1,19 @@
 /** The connections between controllers: questions out, answers back, each with a deadline. */
 import { createServer, Socket, type Server } from "node:net";
 import { pipeline, Writable } from "node:stream";
-import { listenOn } from "../runtime/listening.js";
+import { listenOn } from "../runtime/listen.js";
 import type { Logger } from "../runtime/log.js";
-import { FrameReader, frameBytes } from "./framing.js";
+import { FrameDecoder, frameBytes } from "./framing.js";
 import type { Frame, PeerReply, PeerRequest } from "./messages.js";
 
 /** A peer did not answer in time, or cannot be reached. */
-export class PeerSilent extends Error {}
+export class PeerUnreachableError extends Error {}
 
 /** Answers another controller's request. */
 export type PeerHandler = (request: PeerRequest) => Promise<PeerReply>;
 
 /** Views of links, which ride on frames that are sent anyway. */
-export interface ViewExchange {
+export interface LinkViewExchange {
   /** What to attach to the next frame to a controller, if it is time for a view. */
   outgoing(node: string): Uint8Array | undefined;
   /** Takes in a view, and tells which controller it is from; null if it is dropped. */
@@ -37,7 +37,7 @@
   private connectedAt = -Infinity;
   private readonly waiting = new Map<number, (reply: PeerReply | null) => void>();
 
-  viewExchange: ViewExchange | null = null;
+  viewExchange: LinkViewExchange | null = null;
 
   constructor(
     private readonly node: string,
@@ -49,7 +49,7 @@
   ask(request: PeerRequest, timeoutMs = this.timeoutMs): Promise<PeerReply> {
     return new Promise((resolve, reject) => {
       if (this.waiting.size >= MAX_PENDING_REQUESTS) {
-        reject(new PeerSilent(this.address));
+        reject(new PeerUnreachableError(this.address));
         return;
       }
       const id = this.nextId++;
@@ -63,7 +63,7 @@
       const settle = (reply: PeerReply | null): void => {
         clearTimeout(timer);
         this.waiting.delete(id);
-        if (reply === null) reject(new PeerSilent(this.address));
+        if (reply === null) reject(new PeerUnreachableError(this.address));
         else resolve(reply);
       };
       this.waiting.set(id, settle);
@@ -93,7 +93,7 @@
         done();
       },
     });
-    pipeline(socket, new FrameReader(), answers, (err) => {
+    pipeline(socket, new FrameDecoder(), answers, (err) => {
       if (err) this.log.debug({ peer: this.address, err: err.message }, "peer connection ended");
       socket.destroy();
       if (this.socket === socket) this.socket = null;
@@ -105,21 +105,21 @@
 
 /** How a controller speaks with the others. */
 export interface PeerNetwork {
-  ask(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply>;
+  request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply>;
   /** When any peer last answered anything; steady time. */
-  readonly heardAt: number;
+  readonly lastResponseAt: number;
   /** Where views of links come from and go to; null while nobody watches links. */
-  viewExchange: ViewExchange | null;
+  viewExchange: LinkViewExchange | null;
   /** Answers the others' questions from now on; resolves to the port. */
   listen(address: string, handler: PeerHandler): Promise<number>;
   close(): void;
 }
 
 /** Connections to all other controllers, and the server for theirs. */
-export class Peers implements PeerNetwork {
+export class TcpPeerNetwork implements PeerNetwork {
   private readonly connections: Map<string, PeerConnection>;
   private server: Server | null = null;
-  private exchange: ViewExchange | null = null;
+  private exchange: LinkViewExchange | null = null;
   private readonly sockets = new Set<Socket>();
 
   constructor(
@@ -132,21 +132,21 @@
     );
   }
 
-  async ask(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
+  async request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
     const connection = this.connections.get(node);
-    if (connection === undefined) throw new PeerSilent(node);
+    if (connection === undefined) throw new PeerUnreachableError(node);
     return connection.ask(request, timeoutMs);
   }
 
-  get heardAt(): number {
+  get lastResponseAt(): number {
     return Math.max(...[...this.connections.values()].map((connection) => connection.heardAt));
   }
 
-  get viewExchange(): ViewExchange | null {
+  get viewExchange(): LinkViewExchange | null {
     return this.exchange;
   }
 
-  set viewExchange(exchange: ViewExchange | null) {
+  set viewExchange(exchange: LinkViewExchange | null) {
     this.exchange = exchange;
     for (const connection of this.connections.values()) connection.viewExchange = exchange;
   }
@@ -196,7 +196,7 @@
         else resume = done;
       },
     });
-    pipeline(socket, new FrameReader(), questions, (err) => {
+    pipeline(socket, new FrameDecoder(), questions, (err) => {
       if (err) this.log.debug({ err: err.message }, "peer connection dropped");
       socket.destroy();
       this.sockets.delete(socket);
--- a/src/peers/observed-network.ts
+++ b/src/peers/observed-network.ts
@@ -1,6 +1,11 @@
 /** Lets the link monitor see what passes between controllers anyway, without changing it. */
 import { peerLink, type ObservationSink } from "../links/model.js";
-import { PeerSilent, type PeerHandler, type PeerNetwork, type ViewExchange } from "./network.js";
+import {
+  PeerUnreachableError,
+  type PeerHandler,
+  type PeerNetwork,
+  type LinkViewExchange,
+} from "./network.js";
 import type { PeerReply, PeerRequest } from "./messages.js";
 
 /** Requests whose answers wait for other services: that they take long says nothing about the peer. */
@@ -8,33 +13,34 @@
   "forward" in request || "drain" in request || "give" in request;
 
 /** A network whose questions and answers are told to the monitor. */
-export class ObservedPeers implements PeerNetwork {
+export class ObservedPeerNetwork implements PeerNetwork {
   constructor(
     private readonly network: PeerNetwork,
     private readonly sink: ObservationSink,
   ) {}
 
-  get heardAt(): number {
-    return this.network.heardAt;
+  get lastResponseAt(): number {
+    return this.network.lastResponseAt;
   }
 
-  get viewExchange(): ViewExchange | null {
+  get viewExchange(): LinkViewExchange | null {
     return this.network.viewExchange;
   }
 
-  set viewExchange(exchange: ViewExchange | null) {
+  set viewExchange(exchange: LinkViewExchange | null) {
     this.network.viewExchange = exchange;
   }
 
-  async ask(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
+  async request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
     const link = peerLink(node);
     try {
-      const reply = await this.network.ask(node, request, timeoutMs);
+      const reply = await this.network.request(node, request, timeoutMs);
       this.sink({ kind: "delivered", link, direction: "outbound" });
       this.sink({ kind: "delivered", link, direction: "inbound" });
       return reply;
     } catch (err) {
-      if (err instanceof PeerSilent && !waitsForOthers(request)) this.sink({ kind: "unanswered", link });
+      if (err instanceof PeerUnreachableError && !waitsForOthers(request))
+        this.sink({ kind: "unanswered", link });
       throw err;
     }
   }
--- a/src/placement/place.ts
+++ b/src/placement/placement-round.ts
@@ -4,53 +4,53 @@
 import { PRIORITIES, type MachineType } from "../wire/index.js";
 import type { Job, Machine } from "../workers/model.js";
 import {
-  allows,
+  isEligible,
   countZone,
-  EPSILON,
+  ROUNDING_TOLERANCE,
   fits,
-  startable,
+  isStartable,
   teamUsage,
-  underLimit,
-  unseenUsage,
-  zoneAllowed,
-  zonesOf,
-  type Amounts,
-  type Term,
-  type Usage,
+  isWithinQuota,
+  unreconciledUsage,
+  allowsZone,
+  countTasksByZone,
+  type Resources,
+  type OwnershipTerm,
+  type QuotaUsage,
 } from "./capacity.js";
 import {
-  expectedRunMs,
-  isOverdue,
-  reservesMachine,
-  queueEntriesOf,
-  type Plan,
+  expectedRuntimeMs,
+  isStarving,
+  needsReservation,
+  prioritize,
+  type SchedulingContext,
   type QueueEntry,
-} from "./urgency.js";
+} from "./slo-priority.js";
 
 /** A decision to start a task on a machine. */
-export interface Start {
+export interface TaskStart {
   job: Job;
   index: number;
   machine: Machine;
 }
 
 /** What a round of placement is decided on. */
-export interface RoundInput extends Plan, Term {
+export interface PlacementInput extends SchedulingContext, OwnershipTerm {
   jobs: Iterable<Job>;
   machines: Machine[];
   /** What is reserved of teams' limits for jobs that have passed to other shards. */
-  reservedQuota: ReadonlyMap<string, Usage>;
+  reservedQuota: ReadonlyMap<string, QuotaUsage>;
   /** The job at which the last round ran out of time. */
   resumeAt: string | null;
   /** Machines held back for a job that has waited too long, and the job that each waits for. */
-  overdueReservations: ReadonlyMap<Machine, Job>;
+  starvationReservations: ReadonlyMap<Machine, Job>;
   /** Machines on which tasks were stopped for a job, until it has had the time to start there. */
   preemptionReservations: ReadonlyMap<Machine, Job>;
 }
 
 /** What a round of placement decided. */
-export interface Round {
-  starts: Start[];
+export interface PlacementRound {
+  starts: TaskStart[];
   /** Where the next round goes on; null when everything was looked at. */
   resumeAt: string | null;
   reservations: Map<Machine, Job>;
@@ -58,7 +58,7 @@
   steps: number;
 }
 
-interface Room extends Amounts {
+interface MachineCapacity extends Resources {
   machine: Machine;
   type: MachineType;
 }
@@ -66,28 +66,28 @@
 const URGENT = PRIORITIES.indexOf("urgent");
 
 /** What every round of a moment needs, whole ones and those for one machine's room alike. */
-interface Offer {
-  input: RoundInput;
-  usage: Map<string, Usage>;
-  unseen: Usage;
-  rooms: Room[];
-  starts: Start[];
+interface RoundState {
+  input: PlacementInput;
+  usage: Map<string, QuotaUsage>;
+  unseen: QuotaUsage;
+  rooms: MachineCapacity[];
+  starts: TaskStart[];
   reservations: Map<Machine, Job>;
   steps: number;
 }
 
 /** The waiting jobs that may start, in the order in which they are served. */
-export function queueOf(input: RoundInput): QueueEntry[] {
+export function buildQueue(input: PlacementInput): QueueEntry[] {
   const waiting: Job[] = [];
-  for (const job of input.jobs) if (job.waiting > 0 && startable(job, input)) waiting.push(job);
-  return queueEntriesOf(waiting, input);
+  for (const job of input.jobs) if (job.waiting > 0 && isStartable(job, input)) waiting.push(job);
+  return prioritize(waiting, input);
 }
 
-function makeOffer(input: RoundInput, rooms: Room[]): Offer {
+function beginRound(input: PlacementInput, rooms: MachineCapacity[]): RoundState {
   return {
     input,
     usage: teamUsage(input.jobs, input.reservedQuota),
-    unseen: unseenUsage(input.machines, input.types),
+    unseen: unreconciledUsage(input.machines, input.types),
     rooms,
     starts: [],
     reservations: new Map(input.preemptionReservations),
@@ -99,29 +99,34 @@
  * Room that is too small for every waiting task is left out at once. Guards against a queue of large tasks, or of a
  * team at its limit, costing a look at every machine for every job.
  */
-function roomsFor(queue: QueueEntry[], input: RoundInput, machines: Iterable<Machine>): Room[] {
+function capacityFor(
+  queue: QueueEntry[],
+  input: PlacementInput,
+  machines: Iterable<Machine>,
+): MachineCapacity[] {
   const least = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
   for (const { job } of queue) {
     least.cpus = Math.min(least.cpus, job.spec.cpus);
     least.gpus = Math.min(least.gpus, job.spec.gpus);
     least.memoryGb = Math.min(least.memoryGb, job.spec.memoryGb);
   }
-  return openRooms(input, machines).filter((room) => fits(room, least));
+  return freeCapacityOf(input, machines).filter((room) => fits(room, least));
 }
 
 /** A whole round: all that waits against all that is open. */
 export function placeRound(
-  input: RoundInput,
+  input: PlacementInput,
   queue: QueueEntry[],
   clock: SteadyClock,
   deadline: number,
-): Round {
-  const offer = makeOffer(input, roomsFor(queue, input, input.machines));
+): PlacementRound {
+  const offer = beginRound(input, capacityFor(queue, input, input.machines));
   const blocked = new Set<string>();
   const found = input.resumeAt === null ? -1 : queue.findIndex(({ job }) => job.spec.id === input.resumeAt);
   const first = Math.max(0, found);
   // What the jobs before the resumed one hold back stays held.
-  if (first > 0) for (const [machine, job] of input.overdueReservations) offer.reservations.set(machine, job);
+  if (first > 0)
+    for (const [machine, job] of input.starvationReservations) offer.reservations.set(machine, job);
   for (let i = first; i < queue.length; i++) {
     const { job } = queue[i]!;
     if (i > first && clock() > deadline)
@@ -131,8 +136,8 @@
         reservations: offer.reservations,
         steps: offer.steps,
       };
-    serve(job, offer, blocked);
-    if (reservesMachine(job, input)) reserveMachine(job, offer);
+    placeWithinQuota(job, offer, blocked);
+    if (needsReservation(job, input)) reserveMachineFor(job, offer);
   }
   return { starts: offer.starts, resumeAt: null, reservations: offer.reservations, steps: offer.steps };
 }
@@ -141,20 +146,20 @@
  * The room of one machine that has just spoken, offered to the queue as it was last ordered: a report costs what it
  * changes, and not a look at the whole shard.
  */
-export function placeOn(
+export function placeOnMachine(
   machine: Machine,
   queue: QueueEntry[],
-  input: RoundInput,
+  input: PlacementInput,
   /** Whether so many machines have the job's image that its tasks need not go to others. */
   atHome: (job: Job) => boolean,
-): Round {
-  const reservations = new Map([...input.overdueReservations, ...input.preemptionReservations]);
-  const rooms = roomsFor(queue, input, [machine]);
+): PlacementRound {
+  const reservations = new Map([...input.starvationReservations, ...input.preemptionReservations]);
+  const rooms = capacityFor(queue, input, [machine]);
   // Most machines that speak are full: what else the decision takes is not added up for them.
   if (rooms.length === 0) return { starts: [], resumeAt: null, reservations, steps: 0 };
-  const offer = { ...makeOffer(input, rooms), reservations };
+  const offer = { ...beginRound(input, rooms), reservations };
   const blocked = new Set<string>();
-  for (const job of nearFirst(machine, queue, input, atHome)) serve(job, offer, blocked);
+  for (const job of imageLocalFirst(machine, queue, input, atHome)) placeWithinQuota(job, offer, blocked);
   return { starts: offer.starts, resumeAt: null, reservations, steps: offer.steps };
 }
 
@@ -163,42 +168,42 @@
  * two jobs that can wait about alike the one whose image is here goes first, if the other has machines enough with its
  * own. About alike: of one rank, and within a task's run of each other.
  */
-function* nearFirst(
+function* imageLocalFirst(
   machine: Machine,
   queue: QueueEntry[],
-  input: RoundInput,
+  input: PlacementInput,
   atHome: (job: Job) => boolean,
 ): Generator<Job> {
   let later: QueueEntry[] = [];
   for (const entry of queue) {
     const { job } = entry;
-    if (job.waiting === 0 || !startable(job, input)) continue;
+    if (job.waiting === 0 || !isStartable(job, input)) continue;
     const head = later[0];
-    if (head !== undefined && !aboutAlike(head, entry, input)) {
+    if (head !== undefined && !haveSimilarPriority(head, entry, input)) {
       for (const put of later) yield put.job;
       later = [];
     }
-    if (!machine.images.has(job.spec.image) && !isOverdue(job, input) && atHome(job)) later.push(entry);
+    if (!machine.images.has(job.spec.image) && !isStarving(job, input) && atHome(job)) later.push(entry);
     else yield job;
   }
   for (const put of later) yield put.job;
 }
 
-function aboutAlike(head: QueueEntry, entry: QueueEntry, input: RoundInput): boolean {
+function haveSimilarPriority(head: QueueEntry, entry: QueueEntry, input: PlacementInput): boolean {
   return (
     head.rank === entry.rank &&
-    head.behind === entry.behind &&
-    entry.start - head.start <= expectedRunMs(head.job, input)
+    head.deferred === entry.deferred &&
+    entry.latestStart - head.latestStart <= expectedRuntimeMs(head.job, input)
   );
 }
 
-function openRooms(input: RoundInput, machines: Iterable<Machine>): Room[] {
-  const rooms: Room[] = [];
+function freeCapacityOf(input: PlacementInput, machines: Iterable<Machine>): MachineCapacity[] {
+  const rooms: MachineCapacity[] = [];
   for (const machine of machines) {
     const type = input.types.get(machine.record.type);
-    if (!type || !machine.usable || machine.notBefore > input.now) continue;
-    const used = machine.used();
-    const room: Room = {
+    if (!type || !machine.schedulable || machine.notBefore > input.now) continue;
+    const used = machine.usedResources();
+    const room: MachineCapacity = {
       machine,
       type,
       cpus: type.cpus - used.cpus,
@@ -206,70 +211,72 @@
       memoryGb: type.memoryGb - used.memoryGb,
     };
     // Every task takes processors or memory: a machine without either is full for all.
-    if (room.cpus > EPSILON || room.memoryGb > EPSILON) rooms.push(room);
+    if (room.cpus > ROUNDING_TOLERANCE || room.memoryGb > ROUNDING_TOLERANCE) rooms.push(room);
   }
   return rooms;
 }
 
 /** Places what fits of one job. An overdue one at its team's limit lets none of the team's later jobs pass. */
-function serve(job: Job, offer: Offer, blocked: Set<string>): void {
+function placeWithinQuota(job: Job, offer: RoundState, blocked: Set<string>): void {
   const { team: name } = job.spec;
   if (blocked.has(name)) return;
   const team = offer.input.teams.find((t) => t.name === name);
   const used = offer.usage.get(name) ?? { cpus: 0, gpus: 0 };
   placeJob(job, offer, team, used);
-  if (reservesMachine(job, offer.input) && !underLimit(team, used, offer.unseen, job.spec)) blocked.add(name);
+  if (needsReservation(job, offer.input) && !isWithinQuota(team, used, offer.unseen, job.spec))
+    blocked.add(name);
 }
 
 /**
  * Guards against starving a job of large tasks: small ones would take every piece of room before enough of it comes
  * together. One machine that could hold a task of the overdue job takes nothing else until it does.
  */
-function reserveMachine(job: Job, offer: Offer): void {
+function reserveMachineFor(job: Job, offer: RoundState): void {
   const { input, reservations } = offer;
   if (offer.starts.some((s) => s.job === job)) return;
   let best: Machine | null = null;
   let most = -Infinity;
   for (const machine of input.machines) {
     const type = input.types.get(machine.record.type);
-    if (!type || !machine.usable || reservations.has(machine) || !allows(job, machine)) continue;
+    if (!type || !machine.schedulable || reservations.has(machine) || !isEligible(job, machine)) continue;
     if (!fits(type, job.spec)) continue;
-    const free = input.overdueReservations.get(machine) === job ? Infinity : type.cpus - machine.used().cpus;
+    const free =
+      input.starvationReservations.get(machine) === job ? Infinity : type.cpus - machine.usedResources().cpus;
     if (free > most) [best, most] = [machine, free];
   }
   if (best !== null) reservations.set(best, job);
 }
 
-function placeJob(job: Job, offer: Offer, team: Team | undefined, used: Usage): void {
-  if (!underLimit(team, used, offer.unseen, job.spec)) return;
+function placeJob(job: Job, offer: RoundState, team: Team | undefined, used: QuotaUsage): void {
+  if (!isWithinQuota(team, used, offer.unseen, job.spec)) return;
   // Guards against a faulty job that fills machine after machine with tasks that fail: one is enough to tell.
-  if (job.suspect && job.active.size > 0) return;
-  const open: { room: Room; score: number }[] = [];
+  if (job.suspectedFaulty && job.active.size > 0) return;
+  const open: { room: MachineCapacity; score: number }[] = [];
   for (const room of offer.rooms) {
     offer.steps++;
     const reservedFor = offer.reservations.get(room.machine);
     if (
       (reservedFor !== undefined && reservedFor !== job) ||
       !fits(room, job.spec) ||
-      !allows(job, room.machine)
+      !isEligible(job, room.machine)
     )
       continue;
-    open.push({ room, score: scoreOf(job, room) });
+    open.push({ room, score: scoreMachine(job, room) });
   }
   if (open.length === 0) return;
   // A machine that takes a task becomes fuller and so still better: each is filled before the next is looked at.
   open.sort((a, b) => b.score - a.score);
   const { oneZone, spread } = job.spec;
-  const zones = oneZone || spread ? zonesOf(job) : null;
+  const zones = oneZone || spread ? countTasksByZone(job) : null;
   const taken = new Set<number>();
   for (const { room } of open) {
     const mayTakeMore = (): boolean =>
       taken.size < job.startableTasks &&
       fits(room, job.spec) &&
-      underLimit(team, used, offer.unseen, job.spec);
+      isWithinQuota(team, used, offer.unseen, job.spec);
     while (mayTakeMore()) {
-      if (zones !== null && !zoneAllowed(job, room.machine.record.zone, zones)) break;
-      const index = nextIndex(job, taken);
+      if (zones !== null && !allowsZone(job, room.machine.record.zone, zones)) break;
+      const index = nextUnplacedTask(job, taken);
       if (index === null) return;
       taken.add(index);
       offer.starts.push({ job, index, machine: room.machine });
@@ -279,12 +286,12 @@
       used.cpus += job.spec.cpus;
       used.gpus += job.spec.gpus;
       if (zones !== null) countZone(zones, room.machine);
-      if (job.suspect) return;
+      if (job.suspectedFaulty) return;
     }
   }
 }
 
-function nextIndex(job: Job, taken: Set<number>): number | null {
+function nextUnplacedTask(job: Job, taken: Set<number>): number | null {
   for (let i = job.nextWaiting() ?? job.spec.tasks; i < job.spec.tasks; i++)
     if (!job.done.has(i) && !job.active.has(i) && !taken.has(i)) return i;
   return null;
@@ -294,14 +301,14 @@
 const SLOW_PENALTY = 10;
 
 /** What an image at hand is worth beside how full a machine is: fetching one costs less than keeping a machine up. */
-const IMAGE_WORTH = 0.4;
+const LOCAL_IMAGE_SCORE = 0.4;
 
 /**
  * The cheapest kind first, then the fuller one, or one that has the image: dear and empty machines are left to run dry
  * and be returned. Urgent work cannot wait for an image, and goes where it is first.
  */
-function scoreOf(job: Job, room: Room): number {
-  const image = PRIORITIES.indexOf(job.spec.priority) >= URGENT ? 4 : IMAGE_WORTH;
+function scoreMachine(job: Job, room: MachineCapacity): number {
+  const image = PRIORITIES.indexOf(job.spec.priority) >= URGENT ? 4 : LOCAL_IMAGE_SCORE;
   return (
     (room.machine.slow ? -SLOW_PENALTY : 0) +
     (room.machine.record.spot ? 2 : 0) +
--- a/src/runtime/http-client.ts
+++ b/src/runtime/json-client.ts
@@ -2,23 +2,23 @@
 import { Agent, request, type IncomingMessage } from "node:http";
 
 /** The status and the parsed body of an answer. */
-export interface HttpAnswer {
+export interface JsonResponse {
   status: number;
   body: unknown;
 }
 
 /** No usable answer came. The request may have been executed, or may still be. */
-export class NoAnswer extends Error {}
+export class NoResponseError extends Error {}
 
 /** JSON calls to one service, over whatever network. */
-export interface JsonCalls {
-  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer>;
+export interface JsonClient {
+  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse>;
 }
 
-const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
 /** JSON calls to one address over kept connections. */
-export class JsonHttp implements JsonCalls {
+export class HttpJsonClient implements JsonClient {
   private readonly agent: Agent;
   private readonly host: string;
   private readonly port: number;
@@ -30,7 +30,7 @@
     this.agent = new Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets });
   }
 
-  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
+  call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
       const outgoing = request({
@@ -47,7 +47,7 @@
       const fail = (reason: string): void => {
         clearTimeout(timer);
         outgoing.destroy();
-        reject(new NoAnswer(`${method} ${path}: ${reason}`));
+        reject(new NoResponseError(`${method} ${path}: ${reason}`));
       };
       const timer = setTimeout(() => {
         fail("timed out");
@@ -56,7 +56,7 @@
         fail(err.message);
       });
       outgoing.on("response", (answer) => {
-        readAll(answer, MAX_ANSWER_BYTES).then(
+        readText(answer, MAX_RESPONSE_BYTES).then(
           (text) => {
             clearTimeout(timer);
             resolve({ status: answer.statusCode ?? 0, body: parseJson(text) });
@@ -72,10 +72,10 @@
 }
 
 /** A body is longer than allowed. */
-export class BodyTooLarge extends Error {}
+export class BodyTooLargeError extends Error {}
 
 /** By events: an async iterator over each small body costs more than all else that is done with it. */
-export function readAll(stream: IncomingMessage, limit: number): Promise<string> {
+export function readText(stream: IncomingMessage, limit: number): Promise<string> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -83,7 +83,7 @@
       size += chunk.byteLength;
       if (size <= limit) return void chunks.push(chunk);
       stream.pause();
-      reject(new BodyTooLarge(`body over ${limit} bytes`));
+      reject(new BodyTooLargeError(`body over ${limit} bytes`));
     });
     stream.once("end", () => {
       resolve(Buffer.concat(chunks).toString("utf8"));
--- a/src/runtime/rate-limiter.ts
+++ b/src/runtime/rate-limiter.ts
@@ -39,7 +39,7 @@
   }
 
   /** False, at once, where it would take longer than the queue timeout. */
-  pass(cost: number, rank: R, queueTimeoutMs = Infinity): Promise<boolean> {
+  acquire(cost: number, rank: R, queueTimeoutMs = Infinity): Promise<boolean> {
     this.refill();
     const own = this.queues.findIndex((q) => q.rank === rank);
     const queue = this.queues[own]!;
--- a/src/runtime/budget.ts
+++ b/src/runtime/token-bucket.ts
@@ -2,7 +2,7 @@
 import type { SteadyClock } from "./clock.js";
 
 /** A token bucket that never makes anybody wait. */
-export class Budget {
+export class TokenBucket {
   private level: number;
   private updatedAt: number;
 
@@ -16,7 +16,7 @@
   }
 
   /** Takes `cost` only if that needs no waiting. */
-  tryTake(cost: number): boolean {
+  tryAcquire(cost: number): boolean {
     this.refill();
     if (this.level < cost) return false;
     this.level -= cost;
--- a/src/placement/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -1,19 +1,19 @@
 /** Completed tasks of one shard until they are durable: what is to be written next, and what follows from the write. */
-import { CHUNK_TASKS } from "../jobs/bits.js";
-import { ProgressPages } from "../jobs/progress.js";
+import { CHUNK_TASKS } from "../jobs/bitmap.js";
+import { ProgressPages } from "../jobs/progress-pages.js";
 import type { Logger } from "../runtime/log.js";
 import { keys } from "../state/keys.js";
-import type { Guard, Write } from "../wire/index.js";
+import type { Condition, Write } from "../wire/index.js";
 import type { Job } from "../workers/model.js";
 
 /** Completed work that is to be written, and what follows from the write. */
 export interface Completion {
-  guards: Guard[];
+  conditions: Condition[];
   writes: Write[];
   /** To be called once the writes are durable. */
-  durable(): void;
+  onDurable(): void;
   /** To be called if the job's record turned out to be gone: it was cancelled first. */
-  lost(): void;
+  onJobGone(): void;
   /** The job whose record the guards name; empty where they name none. */
   job: string;
 }
@@ -21,9 +21,9 @@
 /** Collects completed tasks and turns them into writes, ended jobs apart from progress. */
 export class CompletionLog {
   /** Completed tasks, by job, that are not durable yet. */
-  private readonly dirty = new Map<Job, Set<number>>();
+  private readonly unwritten = new Map<Job, Set<number>>();
   /** Records of completed tasks of jobs that are over: to be removed when there is room. */
-  private readonly leftovers = new Set<string>();
+  private readonly staleKeys = new Set<string>();
   private readonly progress: ProgressPages;
 
   constructor(
@@ -38,23 +38,24 @@
 
   /** A task of a job has completed. */
   add(job: Job, index: number): void {
-    const indexes = this.dirty.get(job);
+    const indexes = this.unwritten.get(job);
     if (indexes) indexes.add(index);
-    else this.dirty.set(job, new Set([index]));
+    else this.unwritten.set(job, new Set([index]));
   }
 
   /** The job's record is gone: nothing more is written of it, and what was is removed when there is room. */
   forget(job: Job): void {
     const { id, tasks } = job.spec;
-    this.dirty.delete(job);
-    this.progress.drop(id);
-    if (job.durable.count === 0 || this.progress.holds(tasks)) return;
-    for (let chunk = 0; chunk * CHUNK_TASKS < tasks; chunk++) this.leftovers.add(keys.done(id, chunk));
+    this.unwritten.delete(job);
+    this.progress.remove(id);
+    if (job.durable.count === 0 || this.progress.sharesPages(tasks)) return;
+    for (let chunk = 0; chunk * CHUNK_TASKS < tasks; chunk++)
+      this.staleKeys.add(keys.completedTasksChunk(id, chunk));
   }
 
   /** A record of completed tasks whose job is over is to be removed when there is room. */
   removeLater(key: string): void {
-    this.leftovers.add(key);
+    this.staleKeys.add(key);
   }
 
   /** Takes in what an earlier owner has written of a job. */
@@ -65,9 +66,9 @@
   /** Jobs whose last task has completed and that may be told done, to be written within so many operations. */
   finished(room: number, mayEnd: (job: Job) => boolean): Completion[] {
     const out: Completion[] = [];
-    for (const job of this.dirty.keys()) {
+    for (const job of this.unwritten.keys()) {
       if (job.done.count !== job.spec.tasks || !mayEnd(job)) continue;
-      const completion = this.finish(job);
+      const completion = this.completeJob(job);
       if (completion.writes.length > room) break;
       room -= completion.writes.length;
       out.push(completion);
@@ -79,11 +80,11 @@
   progressed(room: number): Completion[] {
     const out: Completion[] = [];
     const pages = new Map<number, { job: Job; indexes: Set<number>; written: number[] }[]>();
-    for (const [job, indexes] of this.dirty) {
+    for (const [job, indexes] of this.unwritten) {
       if (job.done.count === job.spec.tasks) continue;
-      if (!this.progress.holds(job.spec.tasks)) {
+      if (!this.progress.sharesPages(job.spec.tasks)) {
         if (room < 1) continue;
-        const completion = this.chunks(job, indexes, room);
+        const completion = this.completeChunks(job, indexes, room);
         room -= completion.writes.length;
         out.push(completion);
         continue;
@@ -98,26 +99,26 @@
       if (room-- < 1) break;
       out.push({
         job: "",
-        guards: [],
-        writes: [{ put: keys.progress(this.shard, page), value: this.progress.value(page) }],
-        durable: () => {
+        conditions: [],
+        writes: [{ put: keys.completedTasksPage(this.shard, page), value: this.progress.value(page) }],
+        onDurable: () => {
           parts.forEach(({ job, indexes, written }) => {
             this.nowDurable(job, indexes, written);
           });
         },
-        lost: () => undefined,
+        onJobGone: () => undefined,
       });
     }
-    const stale = [...this.leftovers].slice(0, Math.max(0, room));
+    const stale = [...this.staleKeys].slice(0, Math.max(0, room));
     if (stale.length > 0)
       out.push({
         job: "",
-        guards: [],
+        conditions: [],
         writes: stale.map((key) => ({ remove: key })),
-        durable: () => {
-          stale.forEach((key) => this.leftovers.delete(key));
+        onDurable: () => {
+          stale.forEach((key) => this.staleKeys.delete(key));
         },
-        lost: () => undefined,
+        onJobGone: () => undefined,
       });
     return out;
   }
@@ -127,28 +128,28 @@
       job.durable.add(i);
       indexes.delete(i);
     }
-    if (indexes.size === 0 && this.dirty.get(job) === indexes) this.dirty.delete(job);
+    if (indexes.size === 0 && this.unwritten.get(job) === indexes) this.unwritten.delete(job);
   }
 
-  private finish(job: Job): Completion {
+  private completeJob(job: Job): Completion {
     const { id, tasks } = job.spec;
     return {
       job: id,
-      guards: [{ key: keys.job(id), version: job.version }],
-      writes: [{ put: keys.ended(id), value: { stage: "done", done: tasks } }, { remove: keys.job(id) }],
-      durable: () => {
+      conditions: [{ key: keys.job(id), version: job.version }],
+      writes: [{ put: keys.endedJob(id), value: { stage: "done", done: tasks } }, { remove: keys.job(id) }],
+      onDurable: () => {
         for (let i = 0; i < tasks; i++) job.durable.add(i);
-        this.dirty.delete(job);
-        this.progress.drop(id);
+        this.unwritten.delete(job);
+        this.progress.remove(id);
         this.log.info({ job: id }, "job done");
       },
-      lost: () => {
-        this.lose(job);
+      onJobGone: () => {
+        this.discard(job);
       },
     };
   }
 
-  private chunks(job: Job, indexes: Set<number>, room: number): Completion {
+  private completeChunks(job: Job, indexes: Set<number>, room: number): Completion {
     const { id } = job.spec;
     const chunks = [...new Set([...indexes].map((i) => Math.floor(i / CHUNK_TASKS)))].slice(
       0,
@@ -157,20 +158,23 @@
     const written = [...indexes].filter((i) => chunks.includes(Math.floor(i / CHUNK_TASKS)));
     return {
       job: id,
-      guards: [{ key: keys.job(id), version: job.version }],
-      writes: chunks.map((c) => ({ put: keys.done(id, c), value: { bits: job.done.encodeChunk(c) } })),
-      durable: () => {
+      conditions: [{ key: keys.job(id), version: job.version }],
+      writes: chunks.map((c) => ({
+        put: keys.completedTasksChunk(id, c),
+        value: { bits: job.done.encodeChunk(c) },
+      })),
+      onDurable: () => {
         this.nowDurable(job, indexes, written);
       },
-      lost: () => {
-        this.lose(job);
+      onJobGone: () => {
+        this.discard(job);
       },
     };
   }
 
   /** What was to be written of a job whose record is gone is never tried again, or it would take others with it. */
-  private lose(job: Job): void {
-    this.dirty.delete(job);
+  private discard(job: Job): void {
+    this.unwritten.delete(job);
     this.dropJob(job.spec.id);
   }
 }
--- a/src/placement/cordons.ts
+++ b/src/shards/cordons.ts
@@ -1,16 +1,16 @@
 /** Machines that run empty, so that a shard without any can be given one. */
-import { suits, type Demand } from "../peers/messages.js";
+import { allowsPool, type Demand } from "../peers/messages.js";
 import type { Logger } from "../runtime/log.js";
-import { BESIDE_ROOM_S, PRIORITIES, type Priority } from "../wire/index.js";
+import { MAX_WAIT_WITH_FREE_CAPACITY_S, PRIORITIES, type Priority } from "../wire/index.js";
 import type { Machine, Placement } from "../workers/model.js";
-import { endsIn } from "./forecast.js";
-import type { RoundInput } from "./place.js";
+import { expectedRemainingMs } from "../placement/capacity-forecast.js";
+import type { PlacementInput } from "../placement/placement-round.js";
 
 /** So many report intervals a machine stays cordoned after the leader last asked for it. */
 const CORDON_REPORTS = 3;
 
 /** The longest that a machine may take to run empty once cordoned, as a part of the time that nobody waits beside room. */
-const MOST_CORDONED = 2 / 3;
+const MAX_CORDON_FRACTION = 2 / 3;
 
 /** The cordons of one shard; each lasts for as long as the leader goes on asking for it. */
 export class Cordons {
@@ -27,7 +27,7 @@
    * Lets one machine that suits run empty for a shard that has none: the one that will be empty soonest. Nothing is
    * cordoned that would take so long that its room stood beside this shard's own queue for too long.
    */
-  cordon(to: number, demand: Demand, input: RoundInput): void {
+  cordon(to: number, demand: Demand, input: PlacementInput): void {
     const { now } = input;
     const until = now + CORDON_REPORTS * this.reportMs;
     for (const cordon of this.open.values())
@@ -35,7 +35,7 @@
         cordon.until = until;
         return;
       }
-    const machine = soonestEmpty(demand, input);
+    const machine = findSoonestEmpty(demand, input);
     if (machine === null) return;
     machine.cordoned = true;
     this.open.set(machine, { to, until });
@@ -59,16 +59,16 @@
   }
 }
 
-function soonestEmpty(demand: Demand, input: RoundInput): Machine | null {
+function findSoonestEmpty(demand: Demand, input: PlacementInput): Machine | null {
   let best: Machine | null = null;
-  let least = MOST_CORDONED * BESIDE_ROOM_S * 1000;
+  let least = MAX_CORDON_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
   for (const machine of input.machines) {
     const type = input.types.get(machine.record.type);
-    if (type === undefined || !machine.usable || !suits(demand, machine.record)) continue;
+    if (type === undefined || !machine.schedulable || !allowsPool(demand, machine.record)) continue;
     let emptyInMs = 0;
     for (const placement of machine.placements) {
       const stops = yieldsTo(placement, demand);
-      const ms = stops ? placement.job.spec.saveS * 1000 : endsIn(placement, type, input);
+      const ms = stops ? placement.job.spec.saveS * 1000 : expectedRemainingMs(placement, type, input);
       emptyInMs = Math.max(emptyInMs, ms);
     }
     if (emptyInMs < least) [best, least] = [machine, emptyInMs];
--- a/src/placement/decision-metrics.ts
+++ b/src/shards/decision-metrics.ts
@@ -1,6 +1,6 @@
 /** Counts and distributions of the decisions that keep cancelled tasks from going on, for operators. */
 import { createHistogram, type RecordableHistogram } from "node:perf_hooks";
-import { VIOLATIONS, type RenewalRefusal } from "../workers/renewal-verdict.js";
+import { VIOLATIONS, type RenewalRefusal } from "../workers/lease-renewal.js";
 
 /** Longer durations are counted as this. */
 const MOST_MS = 3_600_000;
--- a/src/placement/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -1,6 +1,6 @@
 /** Jobs that are over while tasks of theirs are still on machines: when they were stopped, and when they were gone. */
 import type { Logger } from "../runtime/log.js";
-import type { Command } from "../wire/index.js";
+import type { WorkerCommand } from "../wire/index.js";
 import type { Job } from "../workers/model.js";
 import type { DecisionMetrics } from "./decision-metrics.js";
 
@@ -28,7 +28,7 @@
   }
 
   /** These commands go out now. */
-  noteStops(commands: readonly Command[], now: number): void {
+  noteStops(commands: readonly WorkerCommand[], now: number): void {
     if (this.open.size === 0) return;
     for (const { op, job } of commands) {
       const ended = op === "stop" ? this.open.get(job) : undefined;
--- a/src/placement/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -1,16 +1,16 @@
 /** Tells jobs that were submitted with a mistake from faulty machines, by where else each of them does well. */
 import type { Logger } from "../runtime/log.js";
-import { BESIDE_ROOM_S } from "../wire/index.js";
+import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
 import type { Job, Machine } from "../workers/model.js";
 
 /** A job that fails on so many machines is at fault itself. */
 const FAULTY_JOB_MACHINES = 3;
 
 /** The longest that a faulty job is not tried, as a part of the time that nobody waits beside room. */
-const MOST_BACK_OFF = 2 / 3;
+const MAX_BACK_OFF_FRACTION = 2 / 3;
 
 /** So many leases after a failure the job may be tried on that machine again. */
-const FORGIVEN_LEASES = 2;
+const FAILURE_MEMORY_LEASES = 2;
 
 /** A machine on which so many jobs fail, with no success between, is at fault itself. */
 const FAULTY_MACHINE_JOBS = 2;
@@ -26,8 +26,8 @@
   /** A task ended well: neither its job nor its machine is at fault. */
   succeeded(job: Job, machine: Machine): void {
     machine.failedJobs.clear();
-    job.failures = 0;
-    job.suspect = false;
+    job.backOffCount = 0;
+    job.suspectedFaulty = false;
   }
 
   /** A task of the job failed on the machine. */
@@ -36,9 +36,9 @@
     if (job.notBefore > now) return;
     job.failedOn.set(machine.host, now);
     machine.failedJobs.add(job.spec.id);
-    if (job.suspect || job.failedOn.size >= FAULTY_JOB_MACHINES) this.backOff(job, now);
-    else if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS && !machine.sick) {
-      machine.sick = true;
+    if (job.suspectedFaulty || job.failedOn.size >= FAULTY_JOB_MACHINES) this.backOff(job, now);
+    else if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS && !machine.quarantined) {
+      machine.quarantined = true;
       this.log.info({ host: machine.host, jobs: [...machine.failedJobs] }, "machine quarantined");
     }
   }
@@ -50,15 +50,24 @@
   private backOff(job: Job, now: number): void {
     for (const host of job.failedOn.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
     job.failedOn.clear();
-    job.suspect = true;
-    job.notBefore = now + Math.min(2 ** job.failures * this.leaseMs, MOST_BACK_OFF * BESIDE_ROOM_S * 1000);
-    job.failures++;
-    this.log.info({ job: job.spec.id, failures: job.failures }, "job fails on every machine, backing off");
+    job.suspectedFaulty = true;
+    job.notBefore =
+      now +
+      Math.min(
+        2 ** job.backOffCount * this.leaseMs,
+        MAX_BACK_OFF_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000,
+      );
+    job.backOffCount++;
+    this.log.info(
+      { job: job.spec.id, failures: job.backOffCount },
+      "job fails on every machine, backing off",
+    );
   }
 
   /** Guards against a job that waits for ever beside room: the only machines may be those on which it once failed. */
-  forgive(jobs: Iterable<Job>, now: number): void {
+  expireFailures(jobs: Iterable<Job>, now: number): void {
     for (const { failedOn } of jobs)
-      for (const [host, at] of failedOn) if (now - at > FORGIVEN_LEASES * this.leaseMs) failedOn.delete(host);
+      for (const [host, at] of failedOn)
+        if (now - at > FAILURE_MEMORY_LEASES * this.leaseMs) failedOn.delete(host);
   }
 }
--- a/src/placement/quota-reservations.ts
+++ b/src/shards/quota-reservations.ts
@@ -1,8 +1,8 @@
 /** What a shard keeps free of its teams' limits for jobs that have passed to other shards. */
-import type { QuotaReservation } from "../jobs/records.js";
-import type { Usage } from "./capacity.js";
+import type { QuotaReservation } from "../jobs/job-records.js";
+import type { QuotaUsage } from "../placement/capacity.js";
 
-interface Held {
+interface HeldReservation {
   reservation: QuotaReservation;
   /** Since when the job is known to be over; null while it lives. */
   endedAt: number | null;
@@ -13,14 +13,14 @@
  * elsewhere, from before the job passes on until its last task is surely gone.
  */
 export class QuotaReservations {
-  private readonly held = new Map<string, Held>();
-  private total = new Map<string, Usage>();
+  private readonly held = new Map<string, HeldReservation>();
+  private total = new Map<string, QuotaUsage>();
 
   /** How long tasks of a job may go on once the job is known to be over. */
   constructor(private readonly goneMs: number) {}
 
   /** What is reserved, by team. */
-  get usage(): ReadonlyMap<string, Usage> {
+  get usage(): ReadonlyMap<string, QuotaUsage> {
     return this.total;
   }
 
@@ -36,12 +36,12 @@
   hold(job: string, reservation: QuotaReservation): void {
     if (this.held.has(job)) return;
     this.held.set(job, { reservation, endedAt: null });
-    this.addUp();
+    this.recomputeTotals();
   }
 
   /** The job has not passed on after all, or nothing of it runs any more. */
   release(job: string): void {
-    if (this.held.delete(job)) this.addUp();
+    if (this.held.delete(job)) this.recomputeTotals();
   }
 
   /** The job's record is gone: its tasks may go on for a while. */
@@ -59,7 +59,7 @@
     return over;
   }
 
-  private addUp(): void {
+  private recomputeTotals(): void {
     this.total = new Map();
     for (const { reservation } of this.held.values()) {
       const sum = this.total.get(reservation.team) ?? { cpus: 0, gpus: 0 };
--- a/src/placement/answer-gate.ts
+++ b/src/shards/renewal-guard.ts
@@ -1,20 +1,20 @@
 /** Has every answer to a worker decided on, counts the outcomes, and logs those that matter. */
-import type { Authority } from "../membership/authority.js";
+import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
-import type { Command, WorkerReport } from "../wire/index.js";
+import type { WorkerCommand, Heartbeat } from "../wire/index.js";
 import {
-  decideAnswerRight,
-  Renewal,
+  decideRenewalPermission,
+  LeaseRenewal,
   VIOLATIONS,
-  type AnswerRight,
-  type RefusedRenewal,
+  type RenewalPermission,
+  type RejectedRenewal,
   type RenewalRefusal,
-} from "../workers/renewal-verdict.js";
+} from "../workers/lease-renewal.js";
 import type { DecisionMetrics } from "./decision-metrics.js";
 
 /** Durations that the gate goes by. */
-export interface AnswerGateTimings {
+export interface RenewalGuardTimings {
   /** The oldest copy of the records on which a worker's lease may be renewed. */
   staleMs: number;
   /** The least time between two log lines about refusals. */
@@ -22,46 +22,46 @@
 }
 
 /** Reasons that are about one machine or one report: they are counted, and worth no line each. */
-const ORDINARY: ReadonlySet<RenewalRefusal> = new Set(["newer_token", "report_not_newer"]);
+const ROUTINE_REFUSALS: ReadonlySet<RenewalRefusal> = new Set(["newer_token", "report_not_newer"]);
 
 /** The way out for all answers of one shard's owner. */
-export class AnswerGate {
+export class RenewalGuard {
   /** The reason of the last refusal that concerned the whole shard; null while it answers. */
   private refusing: RenewalRefusal | null = null;
   private lastViolation = -Infinity;
 
   constructor(
     private readonly shard: number,
-    private readonly figures: AnswerGateTimings,
+    private readonly figures: RenewalGuardTimings,
     private readonly metrics: DecisionMetrics,
     private readonly clock: SteadyClock,
     private readonly log: Logger,
   ) {}
 
   /** Whether a report may be answered at all. */
-  right(authority: Authority, workerToken: number, copyAgeMs: number): AnswerRight {
+  permission(authority: ShardAuthority, workerToken: number, copyAgeMs: number): RenewalPermission {
     const { staleMs } = this.figures;
-    const right = decideAnswerRight({ authority, workerToken, copyAgeMs, staleMs });
+    const right = decideRenewalPermission({ authority, workerToken, shardViewAgeMs: copyAgeMs, staleMs });
     if (!right.allowed) this.metrics.refused(right.reason);
-    if (right.allowed || !ORDINARY.has(right.reason))
+    if (right.allowed || !ROUTINE_REFUSALS.has(right.reason))
       this.noteChange(right.allowed ? null : right.reason, authority, copyAgeMs);
     return right;
   }
 
   /** The report was an old one, or not of a machine of this shard. */
-  reportIgnored(): void {
+  heartbeatIgnored(): void {
     this.metrics.refused("report_not_newer");
   }
 
   /** The answer as it may go out; null if it would break a rule. */
   decide(
-    right: Extract<AnswerRight, { allowed: true }>,
-    report: WorkerReport,
-    commands: readonly Command[],
+    right: Extract<RenewalPermission, { allowed: true }>,
+    report: Heartbeat,
+    commands: readonly WorkerCommand[],
     isLive: (job: string) => boolean,
-  ): Renewal | null {
-    const renewal = Renewal.decide(right.token, report, commands, isLive);
-    if (renewal instanceof Renewal) {
+  ): LeaseRenewal | null {
+    const renewal = LeaseRenewal.decide(right.token, report, commands, isLive);
+    if (renewal instanceof LeaseRenewal) {
       this.metrics.answered(right.copyAgeMs);
       return renewal;
     }
@@ -71,7 +71,7 @@
   }
 
   /** One line when the shard stops answering and one when it goes on, with the evidence. */
-  private noteChange(reason: RenewalRefusal | null, authority: Authority, copyAgeMs: number): void {
+  private noteChange(reason: RenewalRefusal | null, authority: ShardAuthority, copyAgeMs: number): void {
     if (reason === this.refusing) return;
     this.refusing = reason;
     const evidence = {
@@ -87,11 +87,11 @@
   }
 
   /** Bounded in time: a fault may concern every machine of a large shard. The counter tells how many there were. */
-  private reportViolation(refused: RefusedRenewal, report: WorkerReport, right: AnswerRight): void {
+  private reportViolation(refused: RejectedRenewal, report: Heartbeat, right: RenewalPermission): void {
     const now = this.clock();
     if (now - this.lastViolation < this.figures.spacingMs) return;
     this.lastViolation = now;
-    const { host, session, seq, token } = report;
+    const { host, epoch: session, sequence: seq, highestToken: token } = report;
     const evidence = { shard: this.shard, host, session, seq, workerToken: token, ...right };
     this.log.error({ ...evidence, ...refused }, "answer refused: it would break a rule");
   }
--- a/src/placement/shard-records.ts
+++ b/src/shards/shard-records.ts
@@ -1,13 +1,19 @@
 /** The jobs and machines of one shard, followed from the records. */
 import { LRUCache } from "lru-cache";
-import { readDone, readEnded, readJob, readProgress, readQuotaReservation } from "../jobs/records.js";
+import {
+  readCompletedTasksChunk,
+  readEnded,
+  readJob,
+  readCompletedTasksPage,
+  readQuotaReservation,
+} from "../jobs/job-records.js";
 import type { Logger } from "../runtime/log.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
-import type { Change } from "../wire/index.js";
+import type { RecordChange } from "../wire/index.js";
 import { Job, Machine } from "../workers/model.js";
-import { machineOf, readGroup, type MachineRecord } from "../workers/records.js";
-import { releaseAll } from "../workers/reports.js";
+import { machineRecordFrom, readMachineGroup, type MachineRecord } from "../workers/machine-records.js";
+import { releaseAll } from "../workers/heartbeat-reconciliation.js";
 import { CompletionLog } from "./completion-log.js";
 import type { DecisionMetrics } from "./decision-metrics.js";
 import { EndedJobs } from "./ended-jobs.js";
@@ -17,7 +23,7 @@
  * How many machines that have left are remembered, so that late copies of their reports are known for what they are: more
  * than a shard with every machine of a large fleet loses within the minutes for which copies may be late.
  */
-const REMEMBERED_MACHINES = 10_000;
+const REMEMBERED_REMOVED_MACHINES = 10_000;
 
 /** How many cancellations that were told are remembered: many more than are made while the feed is behind. */
 const REMEMBERED_CANCELLATIONS = 10_000;
@@ -27,7 +33,7 @@
   readonly jobs = new Map<string, Job>();
   readonly machines = new Map<string, Machine>();
   /** Jobs that have come since the last whole round. */
-  protected fresh: Job[] = [];
+  protected newJobs: Job[] = [];
   /** Which machines of which group's record are here. */
   private readonly groups = new Map<string, Set<string>>();
   protected readonly completions: CompletionLog;
@@ -35,7 +41,7 @@
   protected readonly reservations: QuotaReservations;
   /** How new the last report was of machines that have left. */
   private readonly departed = new LRUCache<string, { session: number; seq: number }>({
-    max: REMEMBERED_MACHINES,
+    max: REMEMBERED_REMOVED_MACHINES,
   });
   /** Jobs of which another told that they are cancelled. */
   private readonly cancellations = new LRUCache<string, true>({ max: REMEMBERED_CANCELLATIONS });
@@ -44,61 +50,62 @@
   protected readonly endedJobs: EndedJobs;
   private completeAsOf = -Infinity;
   /** Whether the last change was taken in whole. */
-  private synchronised = false;
+  private synchronized = false;
 
   protected constructor(
-    readonly n: number,
+    readonly id: number,
     valueBytes: number,
     cancelMs: number,
     protected readonly log: Logger,
     metrics: DecisionMetrics,
   ) {
-    this.endedJobs = new EndedJobs(n, metrics, log);
+    this.endedJobs = new EndedJobs(id, metrics, log);
     this.reservations = new QuotaReservations(cancelMs);
-    this.completions = new CompletionLog(n, valueBytes, log, (id) => {
+    this.completions = new CompletionLog(id, valueBytes, log, (id) => {
       this.dropJob(id, Infinity);
     });
   }
 
   /** A machine's record is gone, or with another shard. */
-  protected abstract machineLeft(machine: Machine): void;
+  protected abstract onMachineRemoved(machine: Machine): void;
 
   /**
    * Up to when what is known here is surely complete. Guards against a change that could not be taken in: until all has
    * been read anew, nothing that is known here counts, however new the process's copy of the records is.
    */
-  get copyAsOf(): number {
-    return this.synchronised ? this.completeAsOf : -Infinity;
+  get viewCompleteAsOf(): number {
+    return this.synchronized ? this.completeAsOf : -Infinity;
   }
 
   /** Follows the records, which are complete up to `asOf`: what is new, what is gone. */
-  sync(view: ReplicaView, changes: Change[] | null, now: number, asOf = view.asOf): void {
-    const news = this.synchronised ? changes : null;
-    this.synchronised = false;
-    this.takeIn(view, news, now);
-    this.synchronised = true;
+  sync(view: ReplicaView, changes: RecordChange[] | null, now: number, asOf = view.completeAsOf): void {
+    const news = this.synchronized ? changes : null;
+    this.synchronized = false;
+    this.applyChanges(view, news, now);
+    this.synchronized = true;
     this.completeAsOf = asOf;
   }
 
-  private takeIn(view: ReplicaView, changes: Change[] | null, now: number): void {
+  private applyChanges(view: ReplicaView, changes: RecordChange[] | null, now: number): void {
     if (changes === null) {
       for (const id of this.jobs.keys()) if (!view.get(keys.job(id))) this.dropJob(id, now);
       changes = [
-        ...view.under(prefixes.jobs),
-        ...view.under(prefixes.done),
-        ...view.under(prefixes.machines),
-        ...view.under(prefixes.quota(this.n)),
+        ...view.list(prefixes.jobs),
+        ...view.list(prefixes.completedTasks),
+        ...view.list(prefixes.machineGroups),
+        ...view.list(prefixes.quotaReservations(this.id)),
       ];
-      for (const change of changes) if (change.key.startsWith(prefixes.machines)) this.syncGroup(change, now);
+      for (const change of changes)
+        if (change.key.startsWith(prefixes.machineGroups)) this.syncGroup(change, now);
       for (const key of [...this.groups.keys()])
         if (view.get(key) === undefined) this.syncGroup({ key, value: undefined, version: 0 }, now);
     }
     for (const change of changes) {
       if (change.key.startsWith(prefixes.jobs)) this.syncJob(change, now);
-      else if (change.key.startsWith(prefixes.quota(this.n))) this.syncQuota(change);
-      else if (change.key.startsWith(prefixes.ended)) this.syncEnded(change);
-      else if (change.key.startsWith(prefixes.machines)) this.syncGroup(change, now);
-      else if (change.key.startsWith(prefixes.done)) this.syncDone(change, view);
+      else if (change.key.startsWith(prefixes.quotaReservations(this.id))) this.syncQuota(change);
+      else if (change.key.startsWith(prefixes.endedJobs)) this.syncEnded(change);
+      else if (change.key.startsWith(prefixes.machineGroups)) this.syncGroup(change, now);
+      else if (change.key.startsWith(prefixes.completedTasks)) this.syncDone(change, view);
     }
     for (const id of this.reservations.jobs)
       if (view.get(keys.job(id)) === undefined) this.reservations.ended(id, now);
@@ -111,7 +118,7 @@
     this.sweepJobs(now);
   }
 
-  private syncJob(change: Change, now: number): void {
+  private syncJob(change: RecordChange, now: number): void {
     const id = change.key.slice(prefixes.jobs.length);
     if (change.value === undefined) {
       this.dropJob(id, now);
@@ -125,40 +132,41 @@
       return;
     }
     // It may have passed to another shard.
-    if (record.shard !== this.n) {
+    if (record.shard !== this.id) {
       this.dropJob(id, now);
       return;
     }
     if (this.jobs.has(id)) return;
     const job = Job.fromRecord(record, change.version);
     this.jobs.set(id, job);
-    this.fresh.push(job);
+    this.newJobs.push(job);
   }
 
-  private syncDone(change: Change, view: ReplicaView): void {
-    const [of = "", part = ""] = change.key.slice(prefixes.done.length).split("/");
-    if (of === String(this.n)) {
-      this.syncProgress(Number(part), readProgress(change.value));
+  private syncDone(change: RecordChange, view: ReplicaView): void {
+    const [of = "", part = ""] = change.key.slice(prefixes.completedTasks.length).split("/");
+    if (of === String(this.id)) {
+      this.syncProgress(Number(part), readCompletedTasksPage(change.value));
       return;
     }
     const job = this.jobs.get(of);
-    const bits = readDone(change.value);
+    const bits = readCompletedTasksChunk(change.value);
     if (bits === null) return;
     if (job) job.mergeDone(Number(part), bits);
-    else if (this.n === 0 && !view.get(keys.job(of))) this.completions.removeLater(change.key);
+    else if (this.id === 0 && !view.get(keys.job(of))) this.completions.removeLater(change.key);
   }
 
-  private syncQuota({ key, value }: Change): void {
+  private syncQuota({ key, value }: RecordChange): void {
     const reservation = readQuotaReservation(value);
-    if (reservation !== null) this.reservations.hold(key.slice(prefixes.quota(this.n).length), reservation);
+    if (reservation !== null)
+      this.reservations.hold(key.slice(prefixes.quotaReservations(this.id).length), reservation);
   }
 
   /** A job is told done by another shard only once none of its tasks runs: nothing need be kept for it any more. */
-  private syncEnded({ key, value }: Change): void {
-    const id = key.slice(prefixes.ended.length);
+  private syncEnded({ key, value }: RecordChange): void {
+    const id = key.slice(prefixes.endedJobs.length);
     if (!this.reservations.has(id) || readEnded(value)?.stage !== "done") return;
     this.reservations.release(id);
-    this.completions.removeLater(keys.quota(this.n, id));
+    this.completions.removeLater(keys.quotaReservation(this.id, id));
   }
 
   /** What this owner wrote itself comes back as well, and changes nothing. */
@@ -172,34 +180,34 @@
     }
   }
 
-  private syncGroup(change: Change, now: number): void {
+  private syncGroup(change: RecordChange, now: number): void {
     const { key } = change;
-    const group = change.value === undefined ? null : readGroup(change.value);
+    const group = change.value === undefined ? null : readMachineGroup(change.value);
     // A record that cannot be read proves nothing: what is on its machines still counts.
     if (group === null && change.value !== undefined) {
       this.log.error({ key }, "unreadable machine record");
       return;
     }
-    const here = group?.shard === this.n ? Object.keys(group.machines) : [];
+    const here = group?.shard === this.id ? Object.keys(group.machines) : [];
     const former = this.groups.get(key);
     const present = new Set(here);
     if (present.size > 0) this.groups.set(key, present);
     else this.groups.delete(key);
     for (const host of here) {
-      const record = machineOf(key, group!, host);
+      const record = machineRecordFrom(key, group!, host);
       const machine = this.machines.get(host);
       if (machine) machine.record = record;
       else this.machines.set(host, this.newMachine(host, record, now));
     }
     for (const host of former ?? [])
-      if (!present.has(host) && this.machines.get(host)?.record.group === key) this.dropMachine(host, now);
+      if (!present.has(host) && this.machines.get(host)?.record.groupKey === key) this.dropMachine(host, now);
   }
 
   private newMachine(host: string, record: MachineRecord, now: number): Machine {
     const machine = new Machine(host, record, now);
     // Guards against late copies from an earlier stay in this shard: they are no newer than what was seen then.
     const known = this.departed.get(host);
-    if (known !== undefined) [machine.session, machine.seq] = [known.session, known.seq];
+    if (known !== undefined) [machine.epoch, machine.sequence] = [known.session, known.seq];
     return machine;
   }
 
@@ -208,8 +216,8 @@
     const job = this.jobs.get(id);
     if (job === undefined) return;
     // The view before this one lacked its end, which is therefore no older than that view.
-    if (!job.closing && job.active.size > 0) this.endedJobs.begin(job, Math.min(now, this.completeAsOf));
-    job.closing = true;
+    if (!job.terminating && job.active.size > 0) this.endedJobs.begin(job, Math.min(now, this.completeAsOf));
+    job.terminating = true;
     this.completions.forget(job);
     if (job.active.size === 0) this.jobs.delete(id);
   }
@@ -220,14 +228,14 @@
     if (machine === undefined) return;
     releaseAll(machine);
     this.machines.delete(host);
-    this.machineLeft(machine);
-    const { session, seq } = machine;
+    this.onMachineRemoved(machine);
+    const { epoch: session, sequence: seq } = machine;
     this.departed.set(host, { session, seq });
     this.sweepJobs(now);
   }
 
   protected sweepJobs(now: number): void {
     this.endedJobs.sweep(now);
-    for (const [id, job] of this.jobs) if (job.closing && job.active.size === 0) this.jobs.delete(id);
+    for (const [id, job] of this.jobs) if (job.terminating && job.active.size === 0) this.jobs.delete(id);
   }
 }
--- a/src/placement/speed-tracker.ts
+++ b/src/shards/speed-tracker.ts
@@ -26,7 +26,7 @@
   }
 
   /** A task has completed. */
-  finished({ job, machine, state, since, resumed }: Placement, now: number): void {
+  finished({ job, machine, state, stateSince: since, resumed }: Placement, now: number): void {
     const { className, estimateS, checkpointS } = job.spec;
     // A task that saves may have gone on from where it was stopped, and then says little.
     if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && resumed)) return;
@@ -39,17 +39,17 @@
 
   /** Estimates differ from job to job, so that only tasks of one job tell machines apart. */
   private compare(job: Job, machine: Machine, runMs: number): void {
-    const { runs } = job;
+    const { completedRuns: runs } = job;
     const usualMs = runs.count < LEAST_TASKS_OF_JOB ? 0 : runs.totalMs / runs.count;
     runs.count++;
     runs.totalMs += runMs;
     if (usualMs <= 0) return;
     machine.comparedTasks++;
-    machine.relativeRun += (runMs / usualMs - machine.relativeRun) * MACHINE_WEIGHT;
-    const slow = machine.comparedTasks >= LEAST_TASKS_OF_MACHINE && machine.relativeRun > SLOW_RATIO;
+    machine.relativeRunTime += (runMs / usualMs - machine.relativeRunTime) * MACHINE_WEIGHT;
+    const slow = machine.comparedTasks >= LEAST_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
     if (slow === machine.slow) return;
     machine.slow = slow;
-    const { host, relativeRun } = machine;
+    const { host, relativeRunTime: relativeRun } = machine;
     this.log.info({ host, relativeRun }, slow ? "machine is slow" : "machine is not slow any more");
   }
 }
--- a/src/state/replica.ts
+++ b/src/state/replica.ts
@@ -1,22 +1,22 @@
 /** This node's copy of the live records, fed by the change feed. Others read it; only the feed writes it. */
 import { Writable } from "node:stream";
-import type { Change, Entry } from "../wire/index.js";
-import type { FeedItem } from "./feed.js";
-import { LIVE } from "./keys.js";
+import type { RecordChange, RecordEntry } from "../wire/index.js";
+import type { WatchEvent } from "./watch.js";
+import { LIVE_PREFIX } from "./keys.js";
 
 /** What others may see of this node's copy of the records. */
 export interface ReplicaView {
   readonly revision: number;
   /** Steady time up to which this view surely holds everything durable; -Infinity before the first reading. */
-  readonly asOf: number;
-  get(key: string): Entry | undefined;
-  under(prefix: string): Entry[];
+  readonly completeAsOf: number;
+  get(key: string): RecordEntry | undefined;
+  list(prefix: string): RecordEntry[];
 }
 
 /** Told after each batch; `null` means that everything may be different. */
-export type ReplicaListener = (changed: Change[] | null) => void;
+export type ReplicaListener = (changed: RecordChange[] | null) => void;
 
-interface Reader {
+interface RevisionWaiter {
   revision: number;
   reached(): void;
 }
@@ -24,39 +24,39 @@
 /** This node's copy of the live records. */
 export class Replica extends Writable implements ReplicaView {
   revision = 0;
-  asOf = -Infinity;
+  completeAsOf = -Infinity;
   /** By the part of the key that says what kind of record it is: whoever asks for machines need not pass by jobs. */
-  private kinds = new Map<string, Map<string, Entry>>();
-  private readonly followers: ReplicaListener[] = [];
-  private readers: Reader[] = [];
+  private kinds = new Map<string, Map<string, RecordEntry>>();
+  private readonly changeListeners: ReplicaListener[] = [];
+  private revisionWaiters: RevisionWaiter[] = [];
 
   constructor() {
     super({ objectMode: true, highWaterMark: 1 });
   }
 
-  get(key: string): Entry | undefined {
+  get(key: string): RecordEntry | undefined {
     return this.kinds.get(kindOf(key))?.get(key);
   }
 
-  under(prefix: string): Entry[] {
-    const found: Entry[] = [];
+  list(prefix: string): RecordEntry[] {
+    const found: RecordEntry[] = [];
     for (const entry of this.kinds.get(kindOf(prefix))?.values() ?? [])
       if (entry.key.startsWith(prefix)) found.push(entry);
     return found;
   }
 
   /** Resolves once this copy shows the revision; what is kept waiting for ever is the caller's to bound. */
-  reach(revision: number): Promise<void> {
+  waitForRevision(revision: number): Promise<void> {
     if (this.revision >= revision) return Promise.resolve();
-    return new Promise((resolve) => this.readers.push({ revision, reached: resolve }));
+    return new Promise((resolve) => this.revisionWaiters.push({ revision, reached: resolve }));
   }
 
   onChange(listener: ReplicaListener): void {
-    this.followers.push(listener);
+    this.changeListeners.push(listener);
   }
 
-  override _write(item: FeedItem, _encoding: string, done: () => void): void {
-    let changed: Change[] | null;
+  override _write(item: WatchEvent, _encoding: string, done: () => void): void {
+    let changed: RecordChange[] | null;
     if (item.kind === "reset") {
       this.kinds = new Map();
       for (const entry of item.entries) this.put(entry);
@@ -65,18 +65,18 @@
       changed = item.changes.filter((change) => this.apply(change));
     }
     this.revision = Math.max(this.revision, item.revision);
-    this.asOf = Math.max(this.asOf, item.asOf);
-    for (const listener of this.followers) listener(changed);
-    const waiting = this.readers;
-    this.readers = waiting.filter((reader) => reader.revision > this.revision);
+    this.completeAsOf = Math.max(this.completeAsOf, item.asOf);
+    for (const listener of this.changeListeners) listener(changed);
+    const waiting = this.revisionWaiters;
+    this.revisionWaiters = waiting.filter((reader) => reader.revision > this.revision);
     for (const reader of waiting) if (reader.revision <= this.revision) reader.reached();
     done();
   }
 
   /** Events since the first page may be older than what a later page showed: the higher version wins. */
-  private apply(change: Change): boolean {
+  private apply(change: RecordChange): boolean {
     // Of jobs that are over nothing is kept here; whoever remembers them is told.
-    if (!change.key.startsWith(LIVE)) return true;
+    if (!change.key.startsWith(LIVE_PREFIX)) return true;
     const known = this.get(change.key);
     if (known !== undefined && known.version >= change.version) return false;
     if (change.value === undefined) return this.kinds.get(kindOf(change.key))?.delete(change.key) ?? false;
@@ -84,7 +84,7 @@
     return true;
   }
 
-  private put(entry: Entry): void {
+  private put(entry: RecordEntry): void {
     const kind = kindOf(entry.key);
     const entries = this.kinds.get(kind);
     if (entries) entries.set(entry.key, entry);
@@ -93,6 +93,6 @@
 }
 
 function kindOf(key: string): string {
-  const end = key.indexOf("/", LIVE.length);
-  return key.slice(LIVE.length, end < 0 ? undefined : end);
+  const end = key.indexOf("/", LIVE_PREFIX.length);
+  return key.slice(LIVE_PREFIX.length, end < 0 ? undefined : end);
 }
--- a/src/state/feed.ts
+++ b/src/state/watch.ts
@@ -2,17 +2,17 @@
 import { Readable } from "node:stream";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
-import { jittered, sleep } from "../runtime/wait.js";
-import type { Change, Entry } from "../wire/index.js";
-import type { StateClient } from "./client.js";
+import { jittered, sleep } from "../runtime/sleep.js";
+import type { RecordChange, RecordEntry } from "../wire/index.js";
+import type { StateStoreClient } from "./state-store-client.js";
 
 /** A whole reading of the records, or changes since the last item. */
-export type FeedItem =
-  | { kind: "reset"; entries: Entry[]; revision: number; asOf: number }
-  | { kind: "changes"; changes: Change[]; revision: number; asOf: number };
+export type WatchEvent =
+  | { kind: "reset"; entries: RecordEntry[]; revision: number; asOf: number }
+  | { kind: "changes"; changes: RecordChange[]; revision: number; asOf: number };
 
 /** How often the service is asked, in milliseconds. */
-export interface FeedPace {
+export interface WatchPacing {
   /** How long one watch stays open: bounds how old an unchanged view may be. */
   waitMs: number;
   /** The least time between two watches: a busy store is read in batches, within the budget. */
@@ -22,15 +22,15 @@
 }
 
 /** The stream of records: a whole reading, then changes in order; a reading again after a gap. */
-export function changeFeed(
-  client: StateClient,
+export function watchRecords(
+  client: StateStoreClient,
   /** What is read whole, and what is then followed: a prefix of it. */
   { whole, followed }: { whole: string; followed: string },
-  pace: FeedPace,
+  pace: WatchPacing,
   clock: SteadyClock,
   log: Logger,
 ): Readable {
-  async function* items(): AsyncGenerator<FeedItem> {
+  async function* items(): AsyncGenerator<WatchEvent> {
     let since: number | null = null;
     for (;;) {
       // `asOf` is when the call was *sent*: whatever was durable by then is in the answer.
@@ -42,7 +42,7 @@
           yield { kind: "reset", entries: all.entries, revision: since, asOf };
           continue;
         }
-        const next = await client.changes(followed, since, pace.waitMs);
+        const next = await client.watchChanges(followed, since, pace.waitMs);
         if (next === null) {
           since = null;
           continue;
@@ -61,13 +61,13 @@
 }
 
 async function readAllPages(
-  client: StateClient,
+  client: StateStoreClient,
   prefix: string,
-): Promise<{ entries: Entry[]; revision: number }> {
-  const entries: Entry[] = [];
+): Promise<{ entries: RecordEntry[]; revision: number }> {
+  const entries: RecordEntry[] = [];
   let revision: number | null = null;
   for (let more = true, after: string | undefined; more;) {
-    const page = await client.page(prefix, after);
+    const page = await client.readPage(prefix, after);
     // Pages are read one after the other; changes since the *first* are replayed over all of them.
     revision ??= page.revision;
     for (const entry of page.entries) entries.push(entry);
--- a/src/wire/paths.ts
+++ b/src/wire/paths.ts
@@ -12,7 +12,7 @@
   submit: "/work",
   job: /^\/work\/([^/]+)$/,
   cancel: /^\/work\/([^/]+)\/withdraw$/,
-  report: "/agent/beat",
+  heartbeat: "/agent/beat",
   cloud: {
     types: "/flavors",
     rent: "/rentals",
