--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -2,21 +2,21 @@
 import * as z from "zod";
 
 /** A record: key, value and the version of its last change. */
-export interface Entry {
+export interface RecordEntry {
   key: string;
   value: unknown;
   version: number;
 }
 
 /** A change as the state service's feed tells it; `value` is undefined for a removal. */
-export interface Change {
+export interface RecordChange {
   key: string;
   value: unknown;
   version: number;
 }
 
 /** A condition of a transaction: the key has this version; 0: it does not exist. */
-export interface Guard {
+export interface Condition {
   key: string;
   /** The version that the key must have; 0 means that it must not exist. */
   version: number;
@@ -29,7 +29,7 @@
 
 const entrySchema = z
   .object({ path: z.string(), value: z.unknown(), stamp: revision })
-  .transform((e): Entry => ({ key: e.path, value: e.value, version: e.stamp }));
+  .transform((e): RecordEntry => ({ key: e.path, value: e.value, version: e.stamp }));
 
 export const valueSchema = z
   .object({ value: z.unknown(), stamp: revision })
@@ -46,21 +46,21 @@
       z.union([
         z
           .object({ put: z.string(), value: z.unknown(), stamp: revision })
-          .transform((e): Change => ({ key: e.put, value: e.value, version: e.stamp })),
+          .transform((e): RecordChange => ({ key: e.put, value: e.value, version: e.stamp })),
         z
           .object({ remove: z.string(), stamp: revision })
-          .transform((e): Change => ({ key: e.remove, value: undefined, version: e.stamp })),
+          .transform((e): RecordChange => ({ key: e.remove, value: undefined, version: e.stamp })),
       ]),
     ),
   })
   .transform((c) => ({ revision: c.epoch, changes: c.events }));
 
-export const committedSchema = z.object({ epoch: revision }).transform((c) => c.epoch);
-export const conflictSchema = z.object({ failed: z.array(z.string()) }).transform((c) => c.failed);
+export const revisionSchema = z.object({ epoch: revision }).transform((c) => c.epoch);
+export const failedConditionsSchema = z.object({ failed: z.array(z.string()) }).transform((c) => c.failed);
 export const leaseSchema = z.object({ hold: revision }).transform((l) => l.hold);
 
 /** A transaction as the state service expects it. */
-export function transactionToWire(guards: Guard[], writes: Write[]): object {
+export function transactionToWire(guards: Condition[], writes: Write[]): object {
   return {
     guards: guards.map((g) => ({ path: g.key, stamp: g.version })),
     apply: writes.map((w) =>
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -42,9 +42,9 @@
 }
 
 /** Every job begins within this time after it was accepted, whatever else is asked for. */
-export const BEGIN_WITHIN_S = 240;
+export const MAX_START_DELAY_S = 240;
 /** No job is left waiting for so long while a machine that fits has room and its team is under its limit. */
-export const BESIDE_ROOM_S = 90;
+export const MAX_WAIT_WITH_FREE_CAPACITY_S = 90;
 export const MAX_TASKS = 100_000;
 export const MAX_BODY_BYTES = 64 * 1024;
 
@@ -101,7 +101,7 @@
 export type Parsed<T> = { ok: true; value: T } | { ok: false; error: string };
 
 /** Runs a schema and words its first complaint in one line that names the field. */
-export function check<T>(schema: z.ZodType<T>, input: unknown): Parsed<T> {
+export function parseWith<T>(schema: z.ZodType<T>, input: unknown): Parsed<T> {
   const result = schema.safeParse(input);
   if (result.success) return { ok: true, value: result.data };
   const issue = result.error.issues[0];
@@ -111,7 +111,7 @@
 
 /** Checks a submission. */
 export function parseSubmission(input: unknown): Parsed<JobSpec> {
-  return check(submissionSchema, input);
+  return parseWith(submissionSchema, input);
 }
 
 /** Whether a text has the form of a job id. */
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,6 +1,6 @@
 /** What workers report and what they are told. */
 import * as z from "zod";
-import { check, type Parsed } from "./users.js";
+import { parseWith, type Parsed } from "./users.js";
 
 /** A task's state as its worker reports it. */
 export type TaskState = "fetching" | "running" | "saving" | "exited";
@@ -8,7 +8,7 @@
 export type ExitCause = "done" | "stopped" | "error" | "no_room" | "busy" | "unknown";
 
 /** One task in a report. */
-export interface TaskReport {
+export interface TaskStatus {
   job: string;
   index: number;
   attempt: number;
@@ -19,29 +19,29 @@
 }
 
 /** A worker's report: its machine and all tasks on it. */
-export interface WorkerReport {
+export interface Heartbeat {
   host: string;
   address: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
+  epoch: number;
+  sequence: number;
   /** The highest token that this worker has seen. */
-  token: number;
+  highestToken: number;
   /** Seconds until the cloud takes the machine away, if it has said so. */
-  noticeS: number | null;
-  tasks: TaskReport[];
+  interruptionNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
 /** What a worker is told to do with one task. */
-export type Command =
+export type WorkerCommand =
   | { op: "start"; job: string; index: number; attempt: number }
   | { op: "stop"; job: string; index: number; attempt: number; graceS: number }
   | { op: "forget"; job: string; index: number; attempt: number };
 
 /** How long a worker waits for the answer to a report before it drops it. */
-export const REPORT_TIMEOUT_S = 4;
+export const HEARTBEAT_TIMEOUT_S = 4;
 /** How much the steady clocks of two machines may drift apart. */
 export const CLOCK_DRIFT = 0.0005;
 
@@ -64,7 +64,7 @@
     cause: z.string().nullish(),
     kept: z.boolean().nullish(),
   })
-  .transform((t): TaskReport => {
+  .transform((t): TaskStatus => {
     const slash = t.piece.indexOf("/");
     return {
       job: t.piece.slice(0, slash),
@@ -77,7 +77,7 @@
     };
   });
 
-const reportSchema = z
+const heartbeatSchema = z
   .object({
     host: z.string().regex(/^[\w.-]{1,100}$/),
     addr: z.string().max(100),
@@ -90,25 +90,25 @@
     recallS: z.number().nullish(),
     pieces: z.array(taskSchema).max(10_000),
   })
-  .transform((r): WorkerReport => ({
+  .transform((r): Heartbeat => ({
     host: r.host,
     address: r.addr,
     type: r.breed,
     zone: r.bank,
     spot: r.loaners,
-    session: r.tenure,
-    seq: r.tick,
-    token: r.baton,
-    noticeS: r.recallS ?? null,
+    epoch: r.tenure,
+    sequence: r.tick,
+    highestToken: r.baton,
+    interruptionNoticeS: r.recallS ?? null,
     tasks: r.pieces,
   }));
 
 /** Checks a report. */
-export function parseReport(input: unknown): Parsed<WorkerReport> {
-  return check(reportSchema, input);
+export function parseHeartbeat(input: unknown): Parsed<Heartbeat> {
+  return parseWith(heartbeatSchema, input);
 }
 
-function commandToWire(command: Command): object {
+function commandToWire(command: WorkerCommand): object {
   const piece = `${command.job}/${command.index}`;
   const base = { piece, try: command.attempt };
   switch (command.op) {
@@ -122,7 +122,7 @@
 }
 
 /** The answer to a report as workers expect it. */
-export function commandsToWire(token: number, commands: readonly Command[]): object {
+export function commandsToWire(token: number, commands: readonly WorkerCommand[]): object {
   return { baton: token, orders: commands.map(commandToWire) };
 }
 
--- a/src/workers/renewal-verdict.ts
+++ b/src/workers/lease-renewal.ts
@@ -3,8 +3,8 @@
  * with it every task on the machine, so that it must not go out without a right to act, on a copy of the records that may
  * lack a confirmed cancellation, or without the stop of a task whose cancellation is known. Pure.
  */
-import type { Authority, AuthorityRefusal } from "../membership/authority.js";
-import type { Command, TaskReport, WorkerReport } from "../wire/index.js";
+import type { ShardAuthority, AuthorityRefusal } from "../membership/shard-authority.js";
+import type { WorkerCommand, TaskStatus, Heartbeat } from "../wire/index.js";
 
 /** Why a report is not answered with a token. The last three would break a rule, and mean a fault in this program. */
 export type RenewalRefusal =
@@ -28,28 +28,28 @@
 ]);
 
 /** The right to answer reports of a shard, or the reason why there is none. */
-export type AnswerRight =
+export type RenewalPermission =
   | { allowed: true; token: number; copyAgeMs: number }
   | { allowed: false; reason: RenewalRefusal; copyAgeMs: number };
 
 /** What the right to answer is decided on. */
-export interface AnswerEvidence {
-  authority: Authority;
+export interface RenewalEvidence {
+  authority: ShardAuthority;
   /** The highest token that the worker has seen. */
   workerToken: number;
   /** Since when the shard's own copy of the records, on which its commands are decided, is surely complete. */
-  copyAgeMs: number;
+  shardViewAgeMs: number;
   staleMs: number;
 }
 
 /** Decides whether a report may be answered at all, before anything is decided on it. */
-export function decideAnswerRight({
+export function decideRenewalPermission({
   authority,
   workerToken,
-  copyAgeMs,
+  shardViewAgeMs: copyAgeMs,
   staleMs,
-}: AnswerEvidence): AnswerRight {
-  const refused = (reason: RenewalRefusal): AnswerRight => ({ allowed: false, reason, copyAgeMs });
+}: RenewalEvidence): RenewalPermission {
+  const refused = (reason: RenewalRefusal): RenewalPermission => ({ allowed: false, reason, copyAgeMs });
   if (!authority.held) return refused(authority.reason);
   if (workerToken > authority.token) return refused("newer_token");
   // Guards against checking one copy's age and deciding on another: a shard that missed a change must not go on.
@@ -58,38 +58,38 @@
 }
 
 /** Why an answer may not go out, and the task that it concerns. */
-export interface RefusedRenewal {
+export interface RejectedRenewal {
   reason: Extract<RenewalRefusal, "ended_task_kept" | "ended_task_started">;
   task: string;
 }
 
 /** An answer that may go out. Only `decide` makes one, so that no path can answer a worker without the decision. */
-export class Renewal {
+export class LeaseRenewal {
   private constructor(
     readonly token: number,
-    readonly commands: readonly Command[],
+    readonly commands: readonly WorkerCommand[],
   ) {}
 
   /** Checks an answer against what its owner knows: see `docs/design.md`, "Cancellation". */
   static decide(
     token: number,
-    report: WorkerReport,
-    commands: readonly Command[],
+    report: Heartbeat,
+    commands: readonly WorkerCommand[],
     /** Whether the records, as the owner knows them, still have a job. */
     isLive: (job: string) => boolean,
-  ): Renewal | RefusedRenewal {
+  ): LeaseRenewal | RejectedRenewal {
     for (const task of report.tasks)
       if (task.state !== "exited" && !isLive(task.job) && !stops(commands, task))
         return { reason: "ended_task_kept", task: `${task.job}/${task.index}` };
     for (const command of commands)
       if (command.op === "start" && !isLive(command.job))
         return { reason: "ended_task_started", task: `${command.job}/${command.index}` };
-    return new Renewal(token, commands);
+    return new LeaseRenewal(token, commands);
   }
 }
 
 /** Whether the commands end a task at once: grace for saving would let it run on. */
-function stops(commands: readonly Command[], { job, index, attempt }: TaskReport): boolean {
+function stops(commands: readonly WorkerCommand[], { job, index, attempt }: TaskStatus): boolean {
   return commands.some(
     (command) =>
       command.op === "stop" &&
--- a/src/workers/records.ts
+++ b/src/workers/machine-records.ts
@@ -25,23 +25,33 @@
 /** One machine, as its group's record has it. */
 export interface MachineRecord extends Omit<MachineGroup, "machines"> {
   /** The key of the group's record. */
-  group: string;
+  groupKey: string;
   /** Whether it has been selected for removal. */
-  drain: boolean;
+  draining: boolean;
   /** Whether it has ever spoken to an owner. Nothing is placed on it before this is written. */
-  up: boolean;
+  hasReported: boolean;
 }
 
-export const readGroup = (value: unknown): MachineGroup | null => groupSchema.safeParse(value).data ?? null;
+export const readMachineGroup = (value: unknown): MachineGroup | null =>
+  groupSchema.safeParse(value).data ?? null;
 
 /** One machine out of its group's record. */
-export function machineOf(key: string, group: MachineGroup, host: string): MachineRecord {
+export function machineRecordFrom(key: string, group: MachineGroup, host: string): MachineRecord {
   const { shard, type, zone, spot, since } = group;
   const is = group.machines[host];
-  return { group: key, shard, type, zone, spot, since, drain: is === "leaving", up: is !== "booting" };
+  return {
+    groupKey: key,
+    shard,
+    type,
+    zone,
+    spot,
+    since,
+    draining: is === "leaving",
+    hasReported: is !== "booting",
+  };
 }
 
 /** How many machines one record may hold, whatever their names: names have at most 100 characters. */
-export function groupSize(valueBytes: number): number {
+export function maxMachinesPerGroup(valueBytes: number): number {
   return Math.max(1, Math.floor(valueBytes / 128) - 4);
 }
--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -1,10 +1,10 @@
 /** Traces of sizing: summaries and machines in; orders, moves and namings out. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Demand, MachineCondition, Summary } from "../src/peers/messages.js";
-import { decideScaling, marketKey, type Known } from "../src/autoscaling/decide.js";
+import type { Demand, MachineCondition, ShardSummary } from "../src/peers/messages.js";
+import { decideScaling, poolKey, type RentedMachine } from "../src/autoscaling/scaling-policy.js";
 import { fromDemandRecord, toDemandRecord } from "../src/autoscaling/demand-record.js";
-import { Listing } from "../src/autoscaling/listing.js";
+import { MachineListing } from "../src/autoscaling/machine-listing.js";
 import { UnregisteredMachines } from "../src/autoscaling/unregistered-machines.js";
 import { createLogger } from "../src/runtime/log.js";
 import type { ListedMachine } from "../src/wire/index.js";
@@ -16,12 +16,12 @@
 // eslint-disable-next-line max-lines-per-function
 function newScenario(): Step {
   let wallNow = 0;
-  const machines = new Map<string, Known>();
-  const summaries: Summary[] = [];
+  const machines = new Map<string, RentedMachine>();
+  const summaries: ShardSummary[] = [];
   const refused = new Set<string>();
   const caps = { maxMachines: 10, maxTasks: 1000, idleWaitMs: null };
 
-  const summary = (shard: number): Summary =>
+  const summary = (shard: number): ShardSummary =>
     (summaries[shard] ??= {
       shard,
       token: 1,
@@ -68,8 +68,8 @@
           zone: "north",
           spot,
           since,
-          drain: false,
-          up: true,
+          draining: false,
+          hasReported: true,
         });
         return [];
       }
@@ -88,18 +88,23 @@
         refused.add(name);
         return [];
       case "pass": {
-        const { order, move, cordon, drains } = decideScaling({
+        const {
+          order,
+          machineTransfer: move,
+          cordon,
+          drains,
+        } = decideScaling({
           types: [smallType],
           summaries,
           machines: [...machines.values()],
           wallNow,
-          refused: (market) => refused.has(marketKey(market)),
+          hasRefusedLately: (market) => refused.has(poolKey(market)),
           caps,
           leaseMs: 10_000,
         });
         return [
           order &&
-            `order ${order.count} ${marketKey(order)} for ${order.parts.map((p) => `${p.count} shard ${p.shard}`).join(", ")}`,
+            `order ${order.count} ${poolKey(order)} for ${order.parts.map((p) => `${p.count} shard ${p.shard}`).join(", ")}`,
           move && `move ${move.hosts.join(" ")} from shard ${move.shard} to ${move.to}`,
           cordon && `cordon one of shard ${cordon.shard} for ${cordon.to}`,
           ...drains.map((drain) => `name ${drain.hosts.join(" ")} of shard ${drain.shard}`),
@@ -114,16 +119,16 @@
 
 test("one late copy of a report does not bring a returned machine back into the records", () => {
   const unregistered = new UnregisteredMachines(750, 100);
-  const copy = { host: "i-1", session: 2, seq: 40 };
+  const copy = { host: "i-1", epoch: 2, sequence: 40 };
   // However often the same report comes, it is one report; an older one proves nothing either.
   assert.deepEqual(
-    [0, 1000, 60_000].map((at) => unregistered.hear(copy, at)),
+    [0, 1000, 60_000].map((at) => unregistered.confirm(copy, at)),
     [false, false, false],
   );
-  assert.equal(unregistered.hear({ ...copy, seq: 39 }, 61_000), false);
-  assert.equal(unregistered.hear({ ...copy, seq: 41 }, 61_500), true);
+  assert.equal(unregistered.confirm({ ...copy, sequence: 39 }, 61_000), false);
+  assert.equal(unregistered.confirm({ ...copy, sequence: 41 }, 61_500), true);
   unregistered.forget("i-1");
-  assert.equal(unregistered.hear({ ...copy, seq: 42 }, 62_000), false);
+  assert.equal(unregistered.confirm({ ...copy, sequence: 42 }, 62_000), false);
 });
 
 test("a summary left in the records says what is short and what is coming, and shows no machine idle", () => {
@@ -157,8 +162,8 @@
   };
   const left = toDemandRecord(said, 8192);
   const read = fromDemandRecord(3, JSON.parse(JSON.stringify(left)), [
-    ["i-1", { up: false }],
-    ["i-2", { up: true }],
+    ["i-1", { hasReported: false }],
+    ["i-2", { hasReported: true }],
   ]);
   assert.deepEqual([read?.shard, read?.token, read?.recovered, read?.demand], [3, 8, true, [demand]]);
   assert.deepEqual(
@@ -169,7 +174,7 @@
 });
 
 test("a list of two pages that disagree makes no machine missing; two whole lists without it do", () => {
-  const listing = new Listing(1000);
+  const listing = new MachineListing(1000);
   const listed = (host: string): ListedMachine => ({
     host,
     type: "small",
@@ -180,9 +185,9 @@
   });
   const ours = (host: string): boolean => host !== "i-9";
   const read = (now: number, first: string[], second: string[]): string[] => {
-    assert.equal(listing.take(first.map(listed), true, now), null);
+    assert.equal(listing.addPage(first.map(listed), true, now), null);
     assert.equal(listing.after, first.at(-1));
-    return listing.missing(listing.take(second.map(listed), false, now + 1)!, ours, now + 1);
+    return listing.missing(listing.addPage(second.map(listed), false, now + 1)!, ours, now + 1);
   };
   assert.deepEqual(read(0, ["i-1", "i-2"], ["i-3", "i-9"]), []);
   // The second page is older than the first, and shows the third machine not yet or no more.
@@ -191,9 +196,9 @@
   assert.deepEqual(read(5000, ["i-1", "i-2"], []), []);
   assert.deepEqual(read(7500, ["i-1", "i-2"], []), ["i-3"]);
   // An outage between two pages: the list is begun anew.
-  assert.equal(listing.take([listed("i-1")], true, 9000), null);
-  assert.equal(listing.underWay(10_000), true);
-  assert.equal(listing.underWay(11_001), false);
+  assert.equal(listing.addPage([listed("i-1")], true, 9000), null);
+  assert.equal(listing.isInProgress(10_000), true);
+  assert.equal(listing.isInProgress(11_001), false);
   assert.equal(listing.after, undefined);
 });
 
@@ -211,16 +216,16 @@
       machines: Object.fromEntries([0, 1, 2, 3, 4].map((i) => [`i-${g * 5 + i}`, "leaving"])),
     },
   }));
-  const view = { revision: 20, asOf: 0, get: () => undefined, under: () => [] };
-  fleet.follow(view, groups);
+  const view = { revision: 20, completeAsOf: 0, get: () => undefined, list: () => [] };
+  fleet.applyChanges(view, groups);
   const all = [...fleet.all()].map(([host]) => host);
   assert.equal(all.length, 100);
-  const { guards, writes, hosts } = fleet.change(all, null, 8);
+  const { conditions: guards, writes, hosts } = fleet.changeStage(all, null, 8);
   assert.deepEqual([guards.length, writes.length, hosts.length], [8, 8, 40]);
   // Once they are out of the records the next ones follow, until none is left.
   const gone = writes.map((w) => ({ key: "remove" in w ? w.remove : w.put, value: undefined, version: 99 }));
-  fleet.follow(view, gone);
-  const rest = fleet.change(
+  fleet.applyChanges(view, gone);
+  const rest = fleet.changeStage(
     all.filter((host) => fleet.get(host) !== undefined),
     null,
     8,
--- a/test/connections.test.ts
+++ b/test/connections.test.ts
@@ -6,17 +6,17 @@
 import { checkOperatorSettings } from "../src/config/operator.js";
 import { serve } from "../src/http/server.js";
 import { statusWhileOff } from "../src/links/status.js";
-import { DecisionMetrics } from "../src/placement/decision-metrics.js";
-import { deriveTimings } from "../src/timings.js";
+import { DecisionMetrics } from "../src/shards/decision-metrics.js";
+import { deriveTimings } from "../src/controller/timings.js";
 import { silent } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 
 const IDLE_MS = 100;
 
 const parts = {
-  users: { answer: () => Promise.resolve({ status: 404, body: { error: "no such job" } }) },
-  report: () => Promise.resolve({ kind: "redirect" as const, owner: null }),
-  healthy: () => true,
+  users: { handle: () => Promise.resolve({ status: 404, body: { error: "no such job" } }) },
+  routeHeartbeat: () => Promise.resolve({ kind: "redirect" as const, owner: null }),
+  isHealthy: () => true,
   linkStatus: () => statusWhileOff("node-0"),
   decisions: () => new DecisionMetrics().report("node-0"),
   log: silent,
--- a/test/elections.test.ts
+++ b/test/elections.test.ts
@@ -5,18 +5,23 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import {
   transactionFor,
-  decideMembership,
-  entryOf,
-  type OwnershipTransaction,
-} from "../src/membership/decide.js";
-import { readCluster, sameProcess, type Cluster, type Process } from "../src/membership/records.js";
+  planMembership,
+  joinTransaction,
+  type ConditionalTransaction,
+} from "../src/membership/membership-planner.js";
+import {
+  readCluster,
+  isSameInstance,
+  type Cluster,
+  type ControllerInstance,
+} from "../src/membership/cluster-records.js";
 import { keys } from "../src/state/keys.js";
 import { FakeView } from "./support/records.js";
 
 const NODES = ["a", "b", "c"];
 const SHARDS = NODES.length;
 
-interface Running extends Process {
+interface Running extends ControllerInstance {
   lease: number;
 }
 
@@ -25,7 +30,7 @@
   private readonly store = new FakeView();
   private readonly leases = new Map<number, string[]>();
   /** Requests on their way; a delivered one may stay and come again. */
-  private under: { claim: OwnershipTransaction; by: Running }[] = [];
+  private under: { claim: ConditionalTransaction; by: Running }[] = [];
   readonly up = new Map<string, Running>();
   private born = 0;
   private revision = 0;
@@ -49,7 +54,7 @@
     const me: Running = { node, incarnation: `${node}.${lease}`, lease };
     this.up.set(node, me);
     const known = this.store.get(keys.member(node))?.version ?? 0;
-    this.under.push({ claim: entryOf({ node, incarnation: me.incarnation }, lease, known), by: me });
+    this.under.push({ claim: joinTransaction({ node, incarnation: me.incarnation }, lease, known), by: me });
   }
 
   /** The service drops the hold of a process that is gone. */
@@ -61,9 +66,16 @@
 
   act(me: Running, seen: Cluster): void {
     const { node, incarnation } = me;
-    const links = { mayLead: true, unsuited: () => false };
-    const view = { cluster: seen, controllers: SHARDS, ledMs: 9999, gatherMs: 1, mayMove: false, ...links };
-    for (const action of decideMembership({ ...view, me: { node, incarnation } }))
+    const links = { mayLead: true, isCutOffFromWorkers: () => false };
+    const view = {
+      cluster: seen,
+      controllers: SHARDS,
+      leadingForMs: 9999,
+      bootstrapGraceMs: 1,
+      mayMove: false,
+      ...links,
+    };
+    for (const action of planMembership({ ...view, self: { node, incarnation } }))
       if (action.kind !== "ask_hand_over")
         this.under.push({ claim: transactionFor(action, { node, incarnation }, me.lease, seen), by: me });
   }
@@ -74,7 +86,7 @@
     const { claim } = this.under[at]!;
     if (!keep) this.under.splice(at, 1);
     const before = this.cluster;
-    if (claim.guards.some((g) => (this.store.get(g.key)?.version ?? 0) !== g.version)) return;
+    if (claim.conditions.some((g) => (this.store.get(g.key)?.version ?? 0) !== g.version)) return;
     if (claim.writes.some((w) => "lease" in w && !this.leases.has(w.lease!))) return;
     const version = ++this.revision;
     for (const write of claim.writes) {
@@ -92,9 +104,9 @@
   /** A live owner that holds its membership loses its shard to nobody. */
   private check(before: Cluster): void {
     before.shards.forEach((owner, n) => {
-      if (owner === null || sameProcess(this.cluster.shards[n], owner)) return;
+      if (owner === null || isSameInstance(this.cluster.shards[n], owner)) return;
       const alive = this.up.get(owner.node);
-      const holds = sameProcess(alive, owner) && sameProcess(before.members.get(owner.node), owner);
+      const holds = isSameInstance(alive, owner) && isSameInstance(before.members.get(owner.node), owner);
       assert.equal(holds, false, `shard ${n} taken from ${owner.incarnation}`);
     });
   }
@@ -107,7 +119,8 @@
         const entered = this.cluster.members.get(me.node);
         const known = this.store.get(keys.member(me.node))?.version ?? 0;
         const process = { node: me.node, incarnation: me.incarnation };
-        if (!sameProcess(entered, me)) this.under.push({ claim: entryOf(process, me.lease, known), by: me });
+        if (!isSameInstance(entered, me))
+          this.under.push({ claim: joinTransaction(process, me.lease, known), by: me });
         else this.act(me, this.cluster);
       }
       while (this.under.length > 0) this.deliver(false);
@@ -131,8 +144,8 @@
     }
     world.settle();
     const { leader, shards } = world.cluster;
-    assert.ok(leader !== null && sameProcess(world.up.get(leader.node), leader), `leader, seed ${seed}`);
+    assert.ok(leader !== null && isSameInstance(world.up.get(leader.node), leader), `leader, seed ${seed}`);
     for (const owner of shards)
-      assert.ok(owner !== null && sameProcess(world.up.get(owner.node), owner), `owner, seed ${seed}`);
+      assert.ok(owner !== null && isSameInstance(world.up.get(owner.node), owner), `owner, seed ${seed}`);
   }
 });
--- a/test/large-fleets.test.ts
+++ b/test/large-fleets.test.ts
@@ -4,11 +4,11 @@
 import { fromDemandRecord, toDemandRecord } from "../src/autoscaling/demand-record.js";
 import { UnregisteredMachines } from "../src/autoscaling/unregistered-machines.js";
 import { checkOperatorSettings } from "../src/config/operator.js";
-import { frameBytes, FrameReader } from "../src/peers/framing.js";
+import { frameBytes, FrameDecoder } from "../src/peers/framing.js";
 import type { Demand, Frame, MachineSummary } from "../src/peers/messages.js";
-import { Shard } from "../src/placement/shard.js";
+import { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
-import type { WorkerReport } from "../src/wire/index.js";
+import type { Heartbeat } from "../src/wire/index.js";
 import { FakeView, silent, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 
@@ -24,8 +24,8 @@
 
 test("machines without a record are registered at their second report, however many report in turn", () => {
   const unregistered = new UnregisteredMachines(GAP_MS, checkOperatorSettings({}).maxMachines);
-  for (const host of hosts) assert.equal(unregistered.hear({ host, session: 1, seq: 1 }, 0), false);
-  const heard = hosts.filter((host) => unregistered.hear({ host, session: 1, seq: 2 }, GAP_MS));
+  for (const host of hosts) assert.equal(unregistered.confirm({ host, epoch: 1, sequence: 1 }, 0), false);
+  const heard = hosts.filter((host) => unregistered.confirm({ host, epoch: 1, sequence: 2 }, GAP_MS));
   assert.equal(heard.length, MACHINES);
 });
 
@@ -35,16 +35,16 @@
   const shard = new Shard(0, 3, 0, testSettings(), () => types, view, silent);
   const of = { shard: 0, type: smallType.name, zone: "north", spot: false, since: 0 };
   const machines = Object.fromEntries(hosts.map((host) => [host, "up"]));
-  const come = view.put(keys.machines("all"), { ...of, machines }, 1);
+  const come = view.put(keys.machineGroup("all"), { ...of, machines }, 1);
   shard.sync(view, [come], 0);
-  const report = (host: string): WorkerReport => {
+  const report = (host: string): Heartbeat => {
     const place = { type: smallType.name, zone: "north", spot: false, address: "a:1" };
-    return { host, ...place, session: 1, seq: 5, token: 3, noticeS: null, tasks: [] };
+    return { host, ...place, epoch: 1, sequence: 5, highestToken: 3, interruptionNoticeS: null, tasks: [] };
   };
-  for (const host of hosts) assert.notEqual(shard.report(report(host), 0), null);
-  shard.sync(view, [view.remove(keys.machines("all"), 2)], 0);
-  shard.sync(view, [view.put(keys.machines("all"), { ...of, machines }, 3)], 0);
-  const believed = hosts.filter((host) => shard.report(report(host), 0) !== null);
+  for (const host of hosts) assert.notEqual(shard.reconcileHeartbeat(report(host), 0), null);
+  shard.sync(view, [view.remove(keys.machineGroup("all"), 2)], 0);
+  shard.sync(view, [view.put(keys.machineGroup("all"), { ...of, machines }, 3)], 0);
+  const believed = hosts.filter((host) => shard.reconcileHeartbeat(report(host), 0) !== null);
   assert.deepEqual(believed, []);
 });
 
@@ -53,7 +53,7 @@
   const load = { up: MACHINES, empty: 0, cpus: 16_000, used: 16_000, waiting: 0 };
   const summary = { shard: 0, token: 3, recovered: true, demand: [], machines: summaries, load };
   const frame: Frame = { id: 1, reply: false, body: { summary: { ...summary, rooms: [], waiting: [] } } };
-  const reader = new FrameReader();
+  const reader = new FrameDecoder();
   reader.end(frameBytes(frame));
   assert.deepEqual(await reader.toArray(), [frame]);
 });
@@ -80,7 +80,7 @@
   const read = fromDemandRecord(
     0,
     record,
-    hosts.map((host) => [host, { up: false }]),
+    hosts.map((host) => [host, { hasReported: false }]),
   );
   assert.equal(read?.machines.filter((machine) => machine.state === "booting").length, MACHINES);
 });
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -83,7 +83,7 @@
 }
 
 function isIn(state: LinkState, node: SimulatedNode, link: string, direction: Direction): boolean {
-  const links = node.life?.controller.door.linkStatus().links ?? [];
+  const links = node.life?.controller.httpDependencies.linkStatus().links ?? [];
   return links.some((of) => of.link.startsWith(link) && of.direction === direction && of.state === state);
 }
 
@@ -190,7 +190,7 @@
 function downDirections(world: Simulation): Set<string> {
   const down = new Set<string>();
   for (const node of world.nodes)
-    for (const { link, direction, state } of node.life?.controller.door.linkStatus().links ?? [])
+    for (const { link, direction, state } of node.life?.controller.httpDependencies.linkStatus().links ?? [])
       if (state === "down") down.add(`${node.name} ${link} ${direction}`);
   return down;
 }
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,15 +1,15 @@
 /** Who leads, who owns what, and how long an owner may go on with what it knows. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { decideMembership, type MembershipView } from "../src/membership/decide.js";
+import { planMembership, type MembershipView } from "../src/membership/membership-planner.js";
 import { Membership } from "../src/membership/membership.js";
-import { sameTerm, type ProcessRecord } from "../src/membership/records.js";
-import { StateFailure, type StateClient } from "../src/state/client.js";
+import { continuesTerm, type ControllerRecord } from "../src/membership/cluster-records.js";
+import { StateStoreError, type StateStoreClient } from "../src/state/state-store-client.js";
 import { keys } from "../src/state/keys.js";
-import type { Guard, Write } from "../src/wire/index.js";
+import type { Condition, Write } from "../src/wire/index.js";
 import { FakeView, silent } from "./support/records.js";
 
-const member = (node: string, version: number, incarnation = `${node}.1`): ProcessRecord => ({
+const member = (node: string, version: number, incarnation = `${node}.1`): ControllerRecord => ({
   node,
   incarnation,
   version,
@@ -19,7 +19,7 @@
 function view(over: Partial<MembershipView["cluster"]>, rest: Partial<MembershipView> = {}): MembershipView {
   const members = new Map([a, b, c].map((m) => [m.node, m]));
   return {
-    me: { node: "a", incarnation: "a.1" },
+    self: { node: "a", incarnation: "a.1" },
     cluster: {
       members,
       leader: member("a", 9),
@@ -27,22 +27,22 @@
       ...over,
     },
     controllers: 3,
-    ledMs: 0,
-    gatherMs: 5000,
+    leadingForMs: 0,
+    bootstrapGraceMs: 5000,
     mayMove: true,
     mayLead: true,
-    unsuited: () => false,
+    isCutOffFromWorkers: () => false,
     ...rest,
   };
 }
 
 test("an even cluster needs nothing", () => {
-  assert.deepEqual(decideMembership(view({})), []);
+  assert.deepEqual(planMembership(view({})), []);
 });
 
 test("a process that came back takes over from its old self at once", () => {
   const old = member("a", 9, "a.0");
-  const actions = decideMembership(view({ leader: old, shards: [member("a", 10, "a.0"), b, c] }));
+  const actions = planMembership(view({ leader: old, shards: [member("a", 10, "a.0"), b, c] }));
   assert.deepEqual(
     actions.map((x) => x.kind),
     ["lead", "resume"],
@@ -52,7 +52,7 @@
 test("only a shard whose owner's record is gone is given to another, the one with the fewest", () => {
   const members = new Map([a, b].map((m) => [m.node, m]));
   const shards = [member("a", 10), member("c", 11), member("c", 12)];
-  const actions = decideMembership(view({ members, shards }));
+  const actions = planMembership(view({ members, shards }));
   assert.deepEqual(
     actions.map((x) => (x.kind === "assign" ? `${x.shard} to ${x.to.node}` : x.kind)),
     ["1 to b", "2 to a"],
@@ -62,26 +62,26 @@
 test("shards that nobody ever owned wait for the others to come up, but not for ever", () => {
   const members = new Map([["a", a]]);
   const fresh = { members, shards: [null, null, null] };
-  assert.deepEqual(decideMembership(view(fresh, { ledMs: 4999 })), []);
-  assert.equal(decideMembership(view(fresh, { ledMs: 5000 })).length, 3);
+  assert.deepEqual(planMembership(view(fresh, { leadingForMs: 4999 })), []);
+  assert.equal(planMembership(view(fresh, { leadingForMs: 5000 })).length, 3);
 });
 
 test("an uneven cluster is evened out by asking an owner, once a shard period", () => {
   const uneven = { shards: [member("b", 10), member("b", 11), member("c", 12)] };
-  const [action] = decideMembership(view(uneven));
+  const [action] = planMembership(view(uneven));
   assert.deepEqual(action, { kind: "ask_hand_over", shard: 0, owner: "b", to: "a" });
-  assert.deepEqual(decideMembership(view(uneven, { mayMove: false })), []);
+  assert.deepEqual(planMembership(view(uneven, { mayMove: false })), []);
 });
 
 test("an owner that was cut off and comes to own its shard again starts afresh", () => {
   // Cut off at version 10, while another owned the shard at 11 and passed it back at 12.
-  assert.equal(sameTerm(10, { version: 12 }, undefined), false);
-  assert.equal(sameTerm(10, { version: 12, mark: "m" }, { from: 11, mark: "m" }), false);
-  assert.equal(sameTerm(10, { version: 11, mark: "m" }, { from: 10, mark: "m" }), true);
-  assert.equal(sameTerm(10, { version: 10 }, undefined), true);
+  assert.equal(continuesTerm(10, { version: 12 }, undefined), false);
+  assert.equal(continuesTerm(10, { version: 12, mark: "m" }, { fromVersion: 11, advanceId: "m" }), false);
+  assert.equal(continuesTerm(10, { version: 11, mark: "m" }, { fromVersion: 10, advanceId: "m" }), true);
+  assert.equal(continuesTerm(10, { version: 10 }, undefined), true);
   // A raise without an answer was not carried out, and what is there is another's or of another time.
-  assert.equal(sameTerm(10, { version: 12 }, { from: 10, mark: "m" }), false);
-  assert.equal(sameTerm(10, { version: 12, mark: "n" }, { from: 10, mark: "m" }), false);
+  assert.equal(continuesTerm(10, { version: 12 }, { fromVersion: 10, advanceId: "m" }), false);
+  assert.equal(continuesTerm(10, { version: 12, mark: "n" }, { fromVersion: 10, advanceId: "m" }), false);
 });
 
 const settle = (): Promise<unknown> => new Promise((resolve) => setImmediate(resolve));
@@ -109,18 +109,18 @@
   [10, 11, 12].forEach((version, n) => store.put(keys.shard(n), me, version));
   let revision = 12;
   const state = {
-    grant: () => Promise.resolve(1),
+    grantLease: () => Promise.resolve(1),
     read: () => Promise.resolve(null),
-    renew: async () => {
+    renewLease: async () => {
       renewals.count++;
       await answered();
       return true;
     },
-    revision: async () => {
+    currentRevision: async () => {
       await answered();
       return revision;
     },
-    commit: async (guards: Guard[], writes: Write[]) => {
+    compareAndSwap: async (guards: Condition[], writes: Write[]) => {
       await settle();
       const failed = guards.filter(({ key, version }) => (store.get(key)?.version ?? 0) !== version);
       if (failed.length > 0) return { ok: false as const, failed: failed.map(({ key }) => key) };
@@ -132,12 +132,12 @@
   };
   const figures = { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 };
   const hooks = {
-    ownership: () => undefined,
-    askHandOver: (_owner: string, shard: number, to: string) =>
+    onOwnershipChanged: () => undefined,
+    requestHandOver: (_owner: string, shard: number, to: string) =>
       void membership.tell({ kind: "hand_over", shard, to }),
-    unsuited: () => false,
+    isCutOffFromWorkers: () => false,
   };
-  const client = state as unknown as StateClient;
+  const client = state as unknown as StateStoreClient;
   const membership = new Membership(me, 3, 3, figures, client, store, clock, hooks, silent);
   return { membership, store };
 }
@@ -147,7 +147,7 @@
   const [LEASE_MS, TICK_MS] = [5000, 400];
   let now = 0;
   let heard = true;
-  const lost = new StateFailure("timed out", true);
+  const lost = new StateStoreError("timed out", true);
   const renewals = { count: 0 };
   const answered = (): Promise<void> => (heard ? Promise.resolve() : Promise.reject(lost));
   const { membership, store } = owningAll(() => undefined, { clock: () => now, answered, renewals });
@@ -166,7 +166,7 @@
   assert.equal(await pass(4 * LEASE_MS), 0, "nothing extends a lease that it cannot prove");
   heard = true;
   assert.ok((await pass(LEASE_MS)) >= 3, "it renews again");
-  store.asOf = now;
+  store.completeAsOf = now;
   assert.notEqual(membership.token(0), null, "and it may act again");
 });
 
@@ -176,7 +176,7 @@
     membership.tell({ kind: "tick" });
     await settle();
     await settle();
-    membership.tell({ kind: "records" });
+    membership.tell({ kind: "records_changed" });
   }
   const owners = membership.cluster.shards.map((s) => s?.node);
   assert.deepEqual(owners.sort(), ["a", "a", "b"]);
@@ -187,8 +187,8 @@
   const went: (boolean | number)[] = [];
   const { membership, store } = owningAll((of) => {
     if (store.get(keys.shard(0))?.version !== advanced) return;
-    of.tell({ kind: "records" });
-    went.push(of.continues(0, 10), of.continues(1, 11), of.token(0) ?? 0);
+    of.tell({ kind: "records_changed" });
+    went.push(of.continuesTerm(0, 10), of.continuesTerm(1, 11), of.token(0) ?? 0);
   });
   membership.tell({ kind: "tick" });
   await settle();
@@ -209,6 +209,6 @@
     await settle();
     await settle();
   }
-  membership.tell({ kind: "records" });
-  assert.equal(membership.continues(0, 10), true);
+  membership.tell({ kind: "records_changed" });
+  assert.equal(membership.continuesTerm(0, 10), true);
 });
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,17 +1,17 @@
 /** What large queues cost: looks are counted, so that the answers do not depend on the processor. */
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
-import { uncovered } from "../src/placement/forecast.js";
-import type { RoundInput } from "../src/placement/place.js";
-import { choosePreemptions } from "../src/placement/preempt.js";
-import { AnswerGate } from "../src/placement/answer-gate.js";
-import { DecisionMetrics } from "../src/placement/decision-metrics.js";
-import { ShardOwner } from "../src/placement/shard-owner.js";
-import type { Shard } from "../src/placement/shard.js";
-import type { StateClient } from "../src/state/client.js";
+import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
+import type { PlacementInput } from "../src/placement/placement-round.js";
+import { choosePreemptions } from "../src/placement/preemption.js";
+import { RenewalGuard } from "../src/shards/renewal-guard.js";
+import { DecisionMetrics } from "../src/shards/decision-metrics.js";
+import { ShardOwner } from "../src/shards/shard-owner.js";
+import type { Shard } from "../src/shards/shard.js";
+import type { StateStoreClient } from "../src/state/state-store-client.js";
 import { attach, Job, Machine } from "../src/workers/model.js";
 import { Fleet } from "../src/workers/fleet.js";
-import { parseReport, type JobSpec } from "../src/wire/index.js";
+import { parseHeartbeat, type JobSpec } from "../src/wire/index.js";
 import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 
@@ -20,9 +20,9 @@
 
 function machines(): Machine[] {
   return Array.from({ length: MACHINES }, (_, i) => {
-    const of = { group: "g", shard: 0, type: "small", zone: "north", spot: false, since: 0 };
-    const machine = new Machine(`i-${i}`, { ...of, drain: false, up: true }, 0);
-    machine.heard = true;
+    const of = { groupKey: "g", shard: 0, type: "small", zone: "north", spot: false, since: 0 };
+    const machine = new Machine(`i-${i}`, { ...of, draining: false, hasReported: true }, 0);
+    machine.followsTerm = true;
     return machine;
   });
 }
@@ -40,21 +40,21 @@
   return { job: new Job(spec, NOW, 1), looks: () => looks };
 }
 
-function input(jobs: Job[], hosts: Machine[], objectives: RoundInput["objectives"]): RoundInput {
+function input(jobs: Job[], hosts: Machine[], objectives: PlacementInput["objectives"]): PlacementInput {
   return {
     jobs,
     machines: hosts,
     types: new Map([[smallType.name, smallType]]),
     teams: testSettings().teams,
     objectives,
-    ratio: () => 1,
+    runtimeRatio: () => 1,
     now: NOW,
     wallNow: NOW,
     recovered: true,
     termToken: 0,
     resumeAt: null,
     reservedQuota: new Map(),
-    overdueReservations: new Map(),
+    starvationReservations: new Map(),
     preemptionReservations: new Map(),
   };
 }
@@ -62,7 +62,7 @@
 test("a forecast looks at a huge array once for all that fits a machine together, not once a task", () => {
   const tasks = 25_000;
   const { job, looks } = counted({ tasks, cpus: 0.25, estimateS: 5, priority: "best_effort" });
-  const rest = uncovered({ ...input([job], machines(), []), waiting: new Map([[job, tasks]]) });
+  const rest = forecastUnmetDemand({ ...input([job], machines(), []), waiting: new Map([[job, tasks]]) });
   // Sixteen tasks fit a machine at a time, and each place is taken over and over while the array can wait.
   assert.ok((rest[0]?.count ?? 0) < tasks / 2, "most of it finds room in time");
   assert.ok(looks() < tasks, `${looks()} looks`);
@@ -83,9 +83,9 @@
         attempt: 1,
         machine,
         state: "running",
-        since: NOW - 1000,
+        stateSince: NOW - 1000,
         resumed: true,
-        unseen: 0,
+        missedHeartbeats: 0,
         stop: null,
       });
   });
@@ -106,39 +106,39 @@
   let now = 0;
   const ROUND_MS = 8;
   const shard = {
-    n: 0,
+    id: 0,
     wantsRound: true,
-    report: () => [],
-    newlyUp: () => [],
-    finished: () => [],
-    progressed: () => [],
+    reconcileHeartbeat: () => [],
+    unrecordedHosts: () => [],
+    takeFinishedJobs: () => [],
+    takeProgress: () => [],
     startsFor: () => [],
     tokenAdvanced: () => undefined,
-    copyAsOf: 0,
-    knowsLive: () => true,
-    attemptsRenewed: () => undefined,
+    viewCompleteAsOf: 0,
+    isLiveJob: () => true,
+    resetAttempts: () => undefined,
     place: mock.fn(() => {
       now += ROUND_MS;
       return 0;
     }),
-    placeOn: mock.fn(() => 0),
+    placeOnMachine: mock.fn(() => 0),
   };
   const figures = { roundMs: 50, spacingMs: 1000, preemptMs: 1000, quietTicks: 8 };
   const noState = { txnOps: 8 };
-  const links = { mayPlace: () => true, mayGiveBack: () => true };
+  const links = { mayPlace: () => true, mayRemoveMachines: () => true };
   const authority = { held: true, token: 1, leaseLeftMs: 1000, viewAgeMs: 0 } as const;
   const hooks = {
     authority: () => authority,
     advanceToken: () => undefined,
-    summary: () => undefined,
+    sendSummary: () => undefined,
     ...links,
   };
   const gateFigures = { staleMs: Infinity, spacingMs: 1000 };
-  const gate = new AnswerGate(0, gateFigures, new DecisionMetrics(), () => now, silent);
+  const gate = new RenewalGuard(0, gateFigures, new DecisionMetrics(), () => now, silent);
   const owner = new ShardOwner(
     shard as unknown as Shard,
     figures,
-    noState as unknown as StateClient,
+    noState as unknown as StateStoreClient,
     new FakeView(),
     new Fleet(silent),
     () => now,
@@ -150,12 +150,12 @@
   const REPORTS = 500;
   for (let i = 0; i < REPORTS; i++) {
     now++;
-    const parsed = parseReport({ ...wire, tick: i, baton: 1, recallS: null, pieces: [] });
+    const parsed = parseHeartbeat({ ...wire, tick: i, baton: 1, recallS: null, pieces: [] });
     assert.ok(parsed.ok);
-    owner.tell({ kind: "report", report: parsed.value, reply: () => undefined });
+    owner.tell({ kind: "heartbeat", heartbeat: parsed.value, reply: () => undefined });
   }
   const rounds = shard.place.mock.callCount();
   assert.ok(rounds > 1, "whole rounds are made");
   assert.ok(rounds * ROUND_MS < now / 4, `${rounds} rounds took ${rounds * ROUND_MS} of ${now} ms`);
-  assert.equal(rounds + shard.placeOn.mock.callCount(), REPORTS);
+  assert.equal(rounds + shard.placeOnMachine.mock.callCount(), REPORTS);
 });
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -3,10 +3,10 @@
 import { once } from "node:events";
 import { connect, createServer } from "node:net";
 import { test } from "node:test";
-import { FrameReader, frameBytes } from "../src/peers/framing.js";
-import { Peers, PeerSilent } from "../src/peers/network.js";
+import { FrameDecoder, frameBytes } from "../src/peers/framing.js";
+import { TcpPeerNetwork, PeerUnreachableError } from "../src/peers/network.js";
 import type { Frame } from "../src/peers/messages.js";
-import { listenOn } from "../src/runtime/listening.js";
+import { listenOn } from "../src/runtime/listen.js";
 import { silent } from "./support/records.js";
 
 const frames: Frame[] = [
@@ -18,7 +18,7 @@
 test("frames come out as they went in, however the bytes are cut", async () => {
   const bytes = Buffer.concat(frames.map(frameBytes));
   for (const size of [1, 3, bytes.byteLength]) {
-    const reader = new FrameReader();
+    const reader = new FrameDecoder();
     for (let at = 0; at < bytes.byteLength; at += size) reader.write(bytes.subarray(at, at + size));
     reader.end();
     assert.deepEqual(await reader.toArray(), frames);
@@ -26,7 +26,7 @@
 });
 
 test("an oversize or broken frame ends the connection and nothing else", async () => {
-  const peers = new Peers([], 1000, silent);
+  const peers = new TcpPeerNetwork([], 1000, silent);
   const port = await peers.listen("127.0.0.1:0", () => Promise.resolve({ accepted: { hosts: ["i-9"] } }));
   for (const bytes of [Buffer.from([255, 255, 255, 255]), Buffer.from([0, 0, 0, 3, 250, 251, 252])]) {
     const socket = connect(port, "127.0.0.1");
@@ -34,11 +34,11 @@
     socket.write(bytes);
     await once(socket, "close");
   }
-  const asker = new Peers([{ node: "b", address: `127.0.0.1:${port}` }], 5000, silent);
-  assert.deepEqual(await asker.ask("b", { drain: { shard: 0, hosts: [] } }), {
+  const asker = new TcpPeerNetwork([{ node: "b", address: `127.0.0.1:${port}` }], 5000, silent);
+  assert.deepEqual(await asker.request("b", { drain: { shard: 0, hosts: [] } }), {
     accepted: { hosts: ["i-9"] },
   });
-  await assert.rejects(asker.ask("c", { drain: { shard: 0, hosts: [] } }), PeerSilent);
+  await assert.rejects(asker.request("c", { drain: { shard: 0, hosts: [] } }), PeerUnreachableError);
   asker.close();
   peers.close();
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -2,11 +2,17 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { ShardAssignment } from "../src/jobs/shard-assignment.js";
-import { uncovered } from "../src/placement/forecast.js";
-import { placeOn, placeRound, queueOf, type Round, type RoundInput } from "../src/placement/place.js";
-import { choosePreemptions } from "../src/placement/preempt.js";
-import { SpeedTracker } from "../src/placement/speed-tracker.js";
-import { orderByUrgency } from "../src/placement/urgency.js";
+import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
+import {
+  placeOnMachine,
+  placeRound,
+  buildQueue,
+  type PlacementRound,
+  type PlacementInput,
+} from "../src/placement/placement-round.js";
+import { choosePreemptions } from "../src/placement/preemption.js";
+import { SpeedTracker } from "../src/shards/speed-tracker.js";
+import { orderByPriority } from "../src/placement/slo-priority.js";
 import type { JobSpec } from "../src/wire/index.js";
 import { attach, Job, Machine, type Placement } from "../src/workers/model.js";
 import { jobSpec, silent, smallType } from "./support/records.js";
@@ -20,10 +26,10 @@
 }
 
 function machine(host: string, spot = false, zone = "north"): Machine {
-  const of = { group: "g", shard: 0, type: "small", zone, spot, since: 0 };
-  const record = { ...of, drain: false, up: true };
+  const of = { groupKey: "g", shard: 0, type: "small", zone, spot, since: 0 };
+  const record = { ...of, draining: false, hasReported: true };
   const made = new Machine(host, record, 0);
-  made.heard = true;
+  made.followsTerm = true;
   return made;
 }
 
@@ -34,9 +40,9 @@
     attempt: index + 1,
     machine: on,
     state: "running",
-    since,
+    stateSince: since,
     resumed: false,
-    unseen: 0,
+    missedHeartbeats: 0,
     stop: null,
   };
   attach(placement);
@@ -46,15 +52,15 @@
 function input(
   jobs: Job[],
   machines: Machine[],
-  over: Partial<RoundInput> = {},
-): RoundInput & { reportMs: number } {
+  over: Partial<PlacementInput> = {},
+): PlacementInput & { reportMs: number } {
   return {
     jobs,
     machines,
     types: new Map([[smallType.name, smallType]]),
     teams,
     objectives: [],
-    ratio: () => 1,
+    runtimeRatio: () => 1,
     now: NOW,
     wallNow: NOW,
     recovered: true,
@@ -62,21 +68,21 @@
     reservedQuota: new Map(),
     preemptionReservations: new Map(),
     resumeAt: null,
-    overdueReservations: new Map(),
+    starvationReservations: new Map(),
     reportMs: 2000,
     ...over,
   };
 }
 
-const wholeRound = (of: RoundInput, clock = () => 0, deadline = 1): Round =>
-  placeRound(of, queueOf(of), clock, deadline);
+const wholeRound = (of: PlacementInput, clock = () => 0, deadline = 1): PlacementRound =>
+  placeRound(of, buildQueue(of), clock, deadline);
 
 test("urgent work comes first, then what can wait least for its aim", () => {
   const objectives = [{ kind: "finished", className: "nightly", withinS: 500 }];
   const nightly = job("req-1", { className: "nightly" });
   const soon = job("req-2", { deadlineS: 200 });
   const urgent = job("req-3", { priority: "urgent", deadlineS: 900 });
-  const order = orderByUrgency([nightly, soon, urgent], input([], [], { objectives }));
+  const order = orderByPriority([nightly, soon, urgent], input([], [], { objectives }));
   assert.deepEqual(
     order.map((j) => j.spec.id),
     ["req-3", "req-2", "req-1"],
@@ -87,7 +93,7 @@
   // Four processors: the large job alone takes 600 s, the small ones 60 s each.
   const large = job("req-1", { team: "capped", tasks: 40, deadlineS: 300 });
   const small = ["req-2", "req-3"].map((id) => job(id, { team: "capped", tasks: 4, deadlineS: 310 }));
-  const order = orderByUrgency([large, ...small], input([], []));
+  const order = orderByPriority([large, ...small], input([], []));
   assert.deepEqual(
     order.map((j) => j.spec.id),
     ["req-2", "req-3", "req-1"],
@@ -102,7 +108,7 @@
   const urgent = job("req-2", { priority: "urgent" });
   const late = NOW - 100_000;
   const order = (guest: Job): string[] =>
-    orderByUrgency([guest, own, urgent], input([], [])).map((entry) => entry.spec.id);
+    orderByPriority([guest, own, urgent], input([], [])).map((entry) => entry.spec.id);
   assert.deepEqual(order(guestOf(late, "normal")), ["req-2", "req-1", "req-3"]);
   assert.deepEqual(order(guestOf(late, "critical")), ["req-3", "req-2", "req-1"]);
   assert.deepEqual(order(guestOf(NOW - 130_000, "normal")), ["req-3", "req-2", "req-1"]);
@@ -117,13 +123,13 @@
   // Two end in 10 s, two in 50 s; a rented machine would be there in 24 s.
   [50_000, 50_000, 10_000, 10_000].forEach((ago, i) => run(host, running, i, NOW - ago));
   const queued = job("req-2", { tasks: 5, deadlineS: 65, estimateS: 60 });
-  const rest = uncovered({ ...input([running, queued], [host]), waiting: new Map([[queued, 5]]) });
+  const rest = forecastUnmetDemand({ ...input([running, queued], [host]), waiting: new Map([[queued, 5]]) });
   assert.deepEqual(rest, [{ job: queued, count: 3, zone: null }]);
 });
 
 test("what must be spread or together is rented for where it may run", () => {
   const waiting = (one: Job, hosts: Machine[]) => {
-    const rest = uncovered({ ...input([one], hosts), waiting: new Map([[one, one.waiting]]) });
+    const rest = forecastUnmetDemand({ ...input([one], hosts), waiting: new Map([[one, one.waiting]]) });
     return rest.map(({ count, zone }) => [count, zone]);
   };
   const spread = job("req-1", { tasks: 5, spread: true });
@@ -182,7 +188,7 @@
   // Less urgent work does not take the room before the job that it was made for has had its turn.
   const late = { ...of, jobs: [low], preemptionReservations: reserved };
   assert.equal(wholeRound(late).starts.length, 0);
-  assert.equal(placeOn(host, queueOf(late), late, () => false).starts.length, 0);
+  assert.equal(placeOnMachine(host, buildQueue(late), late, () => false).starts.length, 0);
   assert.deepEqual(
     wholeRound({ ...of, preemptionReservations: reserved }).starts.map((s) => s.job),
     [urgent],
@@ -221,11 +227,11 @@
 
 test("teams keep to their shards; jobs of a single team go where there is room", () => {
   const several = new ShardAssignment(teams, 2);
-  several.note(1, { capacity: 8, backlog: 100 });
+  several.recordLoad(1, { capacity: 8, backlog: 100 });
   assert.equal(several.shardFor(jobSpec("req-1", { team: "capped" })), 1);
   const single = new ShardAssignment(teams.slice(0, 1), 2);
-  single.note(0, { capacity: 8, backlog: 4 });
-  single.note(1, { capacity: 8, backlog: -4 });
+  single.recordLoad(0, { capacity: 8, backlog: 4 });
+  single.recordLoad(1, { capacity: 8, backlog: -4 });
   const spec = jobSpec("req-1", { tasks: 10 });
   // The first one fills the room that the second then does not count on.
   assert.deepEqual([single.shardFor(spec), single.shardFor(spec)], [1, 0]);
@@ -239,7 +245,7 @@
   const jobs = ["req-1", "req-2", "req-3"].map((id) => job(id, { tasks: 50 }));
   const steps = (machines: Machine[]): number => {
     const of = input(jobs, machines);
-    const round = placeOn(machines[0]!, queueOf(of), of, () => false);
+    const round = placeOnMachine(machines[0]!, buildQueue(of), of, () => false);
     assert.ok(round.starts.length > 0 && round.starts.every((s) => s.machine === machines[0]));
     return round.steps;
   };
@@ -257,14 +263,15 @@
   // One processor is free, and the small tasks that keep coming do not get it.
   assert.deepEqual([round.starts.length, round.reservations.get(host)], [0, large]);
   assert.equal(
-    placeOn(host, queueOf(of), { ...of, overdueReservations: round.reservations }, () => false).starts.length,
+    placeOnMachine(host, buildQueue(of), { ...of, starvationReservations: round.reservations }, () => false)
+      .starts.length,
     0,
   );
   for (const placement of [...host.placements]) {
     host.detach(placement);
     small.detach(placement);
   }
-  const next = wholeRound({ ...of, overdueReservations: round.reservations });
+  const next = wholeRound({ ...of, starvationReservations: round.reservations });
   assert.deepEqual(
     next.starts.map((s) => s.job),
     [large],
@@ -280,7 +287,7 @@
   const free = job("req-3");
   const later = job("req-4", { team: "capped" });
   const of = input([running, large, later, free], [host, other]);
-  const started = (round: Round): string[] => round.starts.map((s) => s.job.spec.id).sort();
+  const started = (round: PlacementRound): string[] => round.starts.map((s) => s.job.spec.id).sort();
   assert.deepEqual(started(wholeRound(of)), ["req-3"]);
   // Nobody waits beside room for a minute and a half: those behind it get their turn before that.
   assert.deepEqual(started(wholeRound({ ...of, wallNow: NOW + 40_000 })), ["req-3", "req-4"]);
@@ -292,7 +299,7 @@
   const first = job("req-1", { tasks: 4, image: "img-a", deadlineS: 300 });
   const near = job("req-2", { tasks: 4, image: "img-b", deadlineS: 310 });
   const served = (atHome: boolean, of = input([first, near], [host])) =>
-    placeOn(host, queueOf(of), of, () => atHome).starts.map((s) => s.job.spec.id);
+    placeOnMachine(host, buildQueue(of), of, () => atHome).starts.map((s) => s.job.spec.id);
   assert.deepEqual([...new Set(served(true))], ["req-2"]);
   assert.deepEqual([...new Set(served(false))], ["req-1"]);
   const urgent = job("req-3", { tasks: 4, image: "img-c", priority: "urgent", deadlineS: 900 });
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -5,21 +5,21 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { pino, type Logger } from "pino";
-import { decideAuthority, type Authority } from "../src/membership/authority.js";
-import { AnswerGate } from "../src/placement/answer-gate.js";
-import { DecisionMetrics } from "../src/placement/decision-metrics.js";
-import { Shard } from "../src/placement/shard.js";
+import { decideShardAuthority, type ShardAuthority } from "../src/membership/shard-authority.js";
+import { RenewalGuard } from "../src/shards/renewal-guard.js";
+import { DecisionMetrics } from "../src/shards/decision-metrics.js";
+import { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
-import type { Command, TaskReport, WorkerReport } from "../src/wire/index.js";
-import { decideAnswerRight, Renewal, type AnswerEvidence } from "../src/workers/renewal-verdict.js";
-import { withinLimit } from "../src/workers/reports.js";
+import type { WorkerCommand, TaskStatus, Heartbeat } from "../src/wire/index.js";
+import { decideRenewalPermission, LeaseRenewal, type RenewalEvidence } from "../src/workers/lease-renewal.js";
+import { limitCommands } from "../src/workers/heartbeat-reconciliation.js";
 import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 
 const STALE_MS = 16_000;
 const held = { held: true, token: 7, leaseLeftMs: 1000, viewAgeMs: 100 } as const;
 
-const task = (job: string, state: TaskReport["state"] = "running"): TaskReport => ({
+const task = (job: string, state: TaskStatus["state"] = "running"): TaskStatus => ({
   job,
   index: 0,
   attempt: 5,
@@ -27,20 +27,20 @@
   cause: state === "exited" ? "done" : null,
   saved: false,
 });
-const report = (...tasks: TaskReport[]): WorkerReport => ({
+const report = (...tasks: TaskStatus[]): Heartbeat => ({
   host: "i-1",
   address: "a:1",
   type: "small",
   zone: "north",
   spot: false,
-  session: 1,
-  seq: 1,
-  token: 7,
-  noticeS: null,
+  epoch: 1,
+  sequence: 1,
+  highestToken: 7,
+  interruptionNoticeS: null,
   tasks,
 });
-const stop = (job: string, graceS = 0): Command => ({ op: "stop", job, index: 0, attempt: 5, graceS });
-const start = (job: string): Command => ({ op: "start", job, index: 0, attempt: 6 });
+const stop = (job: string, graceS = 0): WorkerCommand => ({ op: "stop", job, index: 0, attempt: 5, graceS });
+const start = (job: string): WorkerCommand => ({ op: "start", job, index: 0, attempt: 6 });
 interface LogLine {
   level: number;
   msg: string;
@@ -58,41 +58,46 @@
 test("the right to act ends with the lease, the age of the records, the entry and the shard's record", () => {
   const evidence = {
     token: 7,
-    passingOn: false,
+    handingOver: false,
     leaseLeftMs: 1,
     viewAgeMs: STALE_MS - 1,
-    viewShowsEntry: true,
+    viewShowsJoin: true,
     staleMs: STALE_MS,
   };
-  assert.equal(decideAuthority(evidence).held, true);
+  assert.equal(decideShardAuthority(evidence).held, true);
   const reasonOf = (over: Partial<typeof evidence> | { token: null }): string => {
-    const authority = decideAuthority({ ...evidence, ...over });
+    const authority = decideShardAuthority({ ...evidence, ...over });
     return authority.held ? "held" : authority.reason;
   };
   assert.equal(reasonOf({ token: null }), "not_owner");
-  assert.equal(reasonOf({ passingOn: true }), "passing_on");
+  assert.equal(reasonOf({ handingOver: true }), "passing_on");
   assert.equal(reasonOf({ leaseLeftMs: 0 }), "lease_over");
-  assert.equal(reasonOf({ viewShowsEntry: false }), "view_before_entry");
+  assert.equal(reasonOf({ viewShowsJoin: false }), "view_before_entry");
   assert.equal(reasonOf({ viewAgeMs: STALE_MS }), "view_too_old");
 });
 
 test("a report is answered only under a right that holds, by the worker's latest owner, on a shard that has followed", () => {
-  const evidence: AnswerEvidence = { authority: held, workerToken: 7, copyAgeMs: 100, staleMs: STALE_MS };
-  assert.deepEqual(decideAnswerRight(evidence), { allowed: true, token: 7, copyAgeMs: 100 });
+  const evidence: RenewalEvidence = {
+    authority: held,
+    workerToken: 7,
+    shardViewAgeMs: 100,
+    staleMs: STALE_MS,
+  };
+  assert.deepEqual(decideRenewalPermission(evidence), { allowed: true, token: 7, copyAgeMs: 100 });
   const reasonOf = (over: Partial<typeof evidence>): string => {
-    const right = decideAnswerRight({ ...evidence, ...over });
+    const right = decideRenewalPermission({ ...evidence, ...over });
     return right.allowed ? "allowed" : right.reason;
   };
-  const lapsed: Authority = { held: false, reason: "lease_over", leaseLeftMs: 0, viewAgeMs: 0 };
+  const lapsed: ShardAuthority = { held: false, reason: "lease_over", leaseLeftMs: 0, viewAgeMs: 0 };
   assert.equal(reasonOf({ authority: lapsed }), "lease_over");
   assert.equal(reasonOf({ workerToken: 8 }), "newer_token");
-  assert.equal(reasonOf({ copyAgeMs: STALE_MS }), "shard_behind_view");
+  assert.equal(reasonOf({ shardViewAgeMs: STALE_MS }), "shard_behind_view");
 });
 
 test("an answer stops at once what is over, and starts nothing of it", () => {
-  const decide = (tasks: TaskReport[], commands: Command[]): string => {
-    const renewal = Renewal.decide(7, report(...tasks), commands, isLive);
-    return renewal instanceof Renewal ? "renewed" : `${renewal.reason} ${renewal.task}`;
+  const decide = (tasks: TaskStatus[], commands: WorkerCommand[]): string => {
+    const renewal = LeaseRenewal.decide(7, report(...tasks), commands, isLive);
+    return renewal instanceof LeaseRenewal ? "renewed" : `${renewal.reason} ${renewal.task}`;
   };
   assert.equal(decide([task("live")], [start("live")]), "renewed");
   assert.equal(decide([task("over")], [stop("over")]), "renewed");
@@ -108,9 +113,9 @@
   const { lines, log } = collectedLog();
   const metrics = new DecisionMetrics();
   let now = 0;
-  const gate = new AnswerGate(0, { staleMs: STALE_MS, spacingMs: 1000 }, metrics, () => now, log);
-  const answer = (commands: Command[]): boolean => {
-    const right = gate.right(held, 7, 100);
+  const gate = new RenewalGuard(0, { staleMs: STALE_MS, spacingMs: 1000 }, metrics, () => now, log);
+  const answer = (commands: WorkerCommand[]): boolean => {
+    const right = gate.permission(held, 7, 100);
     return right.allowed && gate.decide(right, report(task("over")), commands, isLive) !== null;
   };
   assert.equal(answer([stop("over")]), true);
@@ -130,11 +135,17 @@
 
 test("a shard that stops answering says so once, with the reason, and once when it goes on", () => {
   const { lines, log } = collectedLog();
-  const gate = new AnswerGate(0, { staleMs: STALE_MS, spacingMs: 1000 }, new DecisionMetrics(), () => 0, log);
-  const lapsed: Authority = { held: false, reason: "view_too_old", leaseLeftMs: 0, viewAgeMs: STALE_MS };
-  for (let i = 0; i < 100; i++) gate.right(lapsed, 7, STALE_MS);
-  for (let i = 0; i < 100; i++) gate.right(held, 8, 100);
-  for (let i = 0; i < 100; i++) gate.right(held, 7, 100);
+  const gate = new RenewalGuard(
+    0,
+    { staleMs: STALE_MS, spacingMs: 1000 },
+    new DecisionMetrics(),
+    () => 0,
+    log,
+  );
+  const lapsed: ShardAuthority = { held: false, reason: "view_too_old", leaseLeftMs: 0, viewAgeMs: STALE_MS };
+  for (let i = 0; i < 100; i++) gate.permission(lapsed, 7, STALE_MS);
+  for (let i = 0; i < 100; i++) gate.permission(held, 8, 100);
+  for (let i = 0; i < 100; i++) gate.permission(held, 7, 100);
   assert.deepEqual(
     lines.map(({ msg, reason }) => [msg, reason]),
     [
@@ -151,10 +162,10 @@
   view.put(keys.job("req-1"), { spec: jobSpec("req-1"), shard: 0, acceptedAt: 1 }, 1);
   const types = new Map([[smallType.name, smallType]]);
   const shard = new Shard(0, 2, 0, testSettings(), () => types, view, silent);
-  assert.equal(shard.copyAsOf, 0);
+  assert.equal(shard.viewCompleteAsOf, 0);
   const removal = view.remove(keys.job("req-1"), 3);
   const unreadable = {
-    key: keys.machines("g-1"),
+    key: keys.machineGroup("g-1"),
     version: 4,
     get value(): unknown {
       throw new Error("a change that cannot be taken in");
@@ -163,19 +174,19 @@
   assert.throws(() => {
     shard.sync(view, [unreadable, removal], 1000, 1000);
   });
-  assert.equal(shard.copyAsOf, -Infinity);
-  assert.equal(shard.knowsLive("req-1"), true, "the cancellation behind it was not taken in");
+  assert.equal(shard.viewCompleteAsOf, -Infinity);
+  assert.equal(shard.isLiveJob("req-1"), true, "the cancellation behind it was not taken in");
   shard.sync(view, [], 2000, 2000);
-  assert.equal(shard.copyAsOf, 2000);
-  assert.equal(shard.knowsLive("req-1"), false, "all has been read anew");
+  assert.equal(shard.viewCompleteAsOf, 2000);
+  assert.equal(shard.isLiveJob("req-1"), false, "all has been read anew");
 });
 
 test("stops come before all else in an answer that has no room for every command", () => {
-  const commands: Command[] = [];
+  const commands: WorkerCommand[] = [];
   for (let i = 0; i < 400; i++) commands.push(start("live"));
   commands.push(stop("over"));
-  const sent = withinLimit(commands);
+  const sent = limitCommands(commands);
   assert.ok(sent.length < commands.length);
   assert.deepEqual(sent[0], stop("over"));
-  assert.deepEqual(withinLimit([start("live"), stop("over")]), [start("live"), stop("over")]);
+  assert.deepEqual(limitCommands([start("live"), stop("over")]), [start("live"), stop("over")]);
 });
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -5,11 +5,11 @@
 import { connect, type AddressInfo, type Socket } from "node:net";
 import { test, type TestContext } from "node:test";
 import { createApp } from "../src/http/app.js";
-import { serveReports } from "../src/http/report-endpoint.js";
-import { readReportRequest } from "../src/http/report-request.js";
-import { answerReport } from "../src/http/reports.js";
+import { serveHeartbeats } from "../src/http/heartbeat-endpoint.js";
+import { readHeartbeatRequest } from "../src/http/heartbeat-request.js";
+import { handleHeartbeat } from "../src/http/heartbeats.js";
 import { MAX_BODY_BYTES } from "../src/wire/index.js";
-import { DecisionMetrics } from "../src/placement/decision-metrics.js";
+import { DecisionMetrics } from "../src/shards/decision-metrics.js";
 import { statusWhileOff } from "../src/links/status.js";
 import { silent } from "./support/records.js";
 
@@ -38,12 +38,12 @@
 /** The door of a controller that answers every report with its host's name. */
 async function door(context: TestContext, answersAfter = Promise.resolve()): Promise<Door> {
   const parts = {
-    users: { answer: () => Promise.resolve({ status: 404, body: { error: "no such job" } }) },
-    report: async ({ host }: { host: string }) => {
+    users: { handle: () => Promise.resolve({ status: 404, body: { error: "no such job" } }) },
+    routeHeartbeat: async ({ host }: { host: string }) => {
       await answersAfter;
       return { kind: "commands" as const, body: { baton: 3, to: host } };
     },
-    healthy: () => true,
+    isHealthy: () => true,
     linkStatus: () => statusWhileOff("node-0"),
     decisions: () => new DecisionMetrics().report("node-0"),
     log: silent,
@@ -54,8 +54,8 @@
     seen++;
     void handle(request, response);
   });
-  const close = serveReports(server, {
-    answer: (text) => answerReport(text, parts),
+  const close = serveHeartbeats(server, {
+    answer: (text) => handleHeartbeat(text, parts),
     log: silent,
     idleMs: 1e6,
   });
@@ -185,11 +185,11 @@
 test("what may yet become a report is waited for, and nothing without bound", () => {
   const whole = Buffer.from(post(BODY));
   for (let end = 0; end < whole.byteLength; end++)
-    assert.equal(readReportRequest(whole.subarray(0, end)).kind, "incomplete", `${end} bytes`);
+    assert.equal(readHeartbeatRequest(whole.subarray(0, end)).kind, "incomplete", `${end} bytes`);
   const two = Buffer.concat([whole, whole]);
-  assert.deepEqual(readReportRequest(two), { kind: "report", body: BODY, end: whole.byteLength });
+  assert.deepEqual(readHeartbeatRequest(two), { kind: "report", body: BODY, end: whole.byteLength });
   const endless = Buffer.from(`POST /agent/beat HTTP/1.1\r\nX: ${"x".repeat(10_000)}`);
-  assert.equal(readReportRequest(endless).kind, "other");
-  assert.equal(readReportRequest(Buffer.from(post(BODY, "Expect: 100-continue\r\n"))).kind, "other");
-  assert.equal(readReportRequest(Buffer.from(post(BODY, "X: a\r\n folded\r\n"))).kind, "other");
+  assert.equal(readHeartbeatRequest(endless).kind, "other");
+  assert.equal(readHeartbeatRequest(Buffer.from(post(BODY, "Expect: 100-continue\r\n"))).kind, "other");
+  assert.equal(readHeartbeatRequest(Buffer.from(post(BODY, "X: a\r\n folded\r\n"))).kind, "other");
 });
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -1,11 +1,11 @@
 /** Traces of one shard: records and reports in, commands, writes and summaries out. */
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
-import { Shard } from "../src/placement/shard.js";
+import { Shard } from "../src/shards/shard.js";
 import { Machine } from "../src/workers/model.js";
-import type { Completion } from "../src/placement/completion-log.js";
+import type { Completion } from "../src/shards/completion-log.js";
 import { keys } from "../src/state/keys.js";
-import { parseReport, type Command, type Priority, type Write } from "../src/wire/index.js";
+import { parseHeartbeat, type WorkerCommand, type Priority, type Write } from "../src/wire/index.js";
 import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 import { list, number, traceTests, type Step, type TraceEvent } from "./support/trace.js";
@@ -20,7 +20,7 @@
   return count === undefined ? Number(token) : Number(token) * 2 ** 20 + Number(count);
 };
 
-const commandText = (c: Command): string =>
+const commandText = (c: WorkerCommand): string =>
   `${c.op} ${c.job}/${c.index} #${attemptText(c.attempt)}${c.op === "stop" ? ` grace=${c.graceS}` : ""}`;
 const writeText = (w: Write): string =>
   "put" in w ? `put ${w.put} ${JSON.stringify(w.value)}` : `remove ${w.remove}`;
@@ -37,7 +37,7 @@
   const types = new Map([[smallType.name, smallType]]);
 
   const report = (event: TraceEvent): string[] => {
-    const parsed = parseReport({
+    const parsed = parseHeartbeat({
       host: event.words[0],
       addr: "10.0.0.9:9000",
       breed: "small",
@@ -53,11 +53,11 @@
       }),
     });
     if (!parsed.ok) return [`refused: ${parsed.error}`];
-    const commands = shard!.report(parsed.value, now);
+    const commands = shard!.reconcileHeartbeat(parsed.value, now);
     if (commands === null) return ["ignored"];
     const known = new Set(commands.filter((c) => c.op === "start").map((c) => c.attempt));
     shard!.place(token, now, () => now, now + 1);
-    shard!.placeOn(parsed.value.host, token, now);
+    shard!.placeOnMachine(parsed.value.host, token, now);
     for (const start of shard!.startsFor(parsed.value.host))
       if (!known.has(start.attempt)) commands.push(start);
     return [`token ${token}`, ...commands.map(commandText)];
@@ -99,10 +99,10 @@
           since: 0,
           machines,
         };
-        return change(view.put(keys.machines(name), record, ++version));
+        return change(view.put(keys.machineGroup(name), record, ++version));
       }
       case "garble":
-        return change(view.put(keys.machines(name), "nonsense", ++version));
+        return change(view.put(keys.machineGroup(name), "nonsense", ++version));
       case "own":
         token = ++version;
         shard = new Shard(0, token, now, settings, () => types, view, silent);
@@ -116,14 +116,14 @@
         shard!.sync(view, null, now);
         return [];
       case "returned":
-        return change(view.remove(keys.machines(name), ++version));
+        return change(view.remove(keys.machineGroup(name), ++version));
       case "report":
         return report(event);
       case "expire":
         shard!.expire(now);
         return [`recovered ${shard!.recovered}`];
       case "tick":
-        shard!.drainNoticed();
+        shard!.drainInterrupted();
         return [];
       case "cordon": {
         const demand = { cpus: 1, gpus: 0, memoryGb: 1, types: [], zone: "", spot: true, count: 1 };
@@ -132,18 +132,18 @@
         return [];
       }
       case "drain":
-        return [`leaving ${shard!.beginLeaving(words, true).join(" ") || "none"}`];
+        return [`leaving ${shard!.beginRemoval(words, true).join(" ") || "none"}`];
       case "write":
-        written = [...shard!.finished(8), ...shard!.progressed(8)];
+        written = [...shard!.takeFinishedJobs(8), ...shard!.takeProgress(8)];
         return written.flatMap((c) => [
-          ...c.guards.map((g) => `if ${g.key} is at ${g.version}`),
+          ...c.conditions.map((g) => `if ${g.key} is at ${g.version}`),
           ...c.writes.map(writeText),
         ]);
       case "durable":
-        for (const completion of written) completion.durable();
+        for (const completion of written) completion.onDurable();
         return [];
       case "lost":
-        for (const completion of written) completion.lost();
+        for (const completion of written) completion.onJobGone();
         return [];
       case "demand":
         return shard!.summary(token, now).demand.map((d) => `${d.count} tasks of ${d.cpus} cpus`);
@@ -165,19 +165,19 @@
   for (let g = 0; g < MACHINES; g += 50) {
     const machines = Object.fromEntries(hosts.slice(g, g + 50).map((host) => [host, "up"]));
     const record = { shard: 0, type: "small", zone: "north", spot: false, since: 0, machines };
-    view.put(keys.machines(`g-${g}`), record, 1);
+    view.put(keys.machineGroup(`g-${g}`), record, 1);
   }
   for (let j = 0; j < 50; j++) {
     const spec = jobSpec(`req-${j}`, { tasks: 100 });
     view.put(keys.job(`req-${j}`), { spec, shard: 0, acceptedAt: 1 }, 2);
   }
-  const reads = mock.method(view, "under");
+  const reads = mock.method(view, "list");
   const token = 3;
   const shard = new Shard(0, token, 0, settings, () => types, view, silent);
   const readAtStart = reads.mock.callCount();
   assert.equal(shard.machines.size, MACHINES);
   shard.place(token, 0, () => 0, 1);
-  const looks = mock.method(Machine.prototype, "used");
+  const looks = mock.method(Machine.prototype, "usedResources");
   hosts.forEach((host, i) => {
     const pieces = [0, 1, 2, 3].map((k) => ({
       piece: `req-${Math.floor((4 * i + k) / 100)}/${(4 * i + k) % 100}`,
@@ -194,11 +194,11 @@
       tick: 2,
       baton: token,
     };
-    const parsed = parseReport({ ...wire, recallS: null, pieces });
+    const parsed = parseHeartbeat({ ...wire, recallS: null, pieces });
     assert.ok(parsed.ok);
-    assert.deepEqual(shard.report(parsed.value, i), []);
+    assert.deepEqual(shard.reconcileHeartbeat(parsed.value, i), []);
     if (shard.wantsRound) shard.place(token, i, () => i, i + 1);
-    else shard.placeOn(host, token, i);
+    else shard.placeOnMachine(host, token, i);
   });
   assert.equal(shard.recovered, true);
   assert.ok(looks.mock.callCount() <= 2 * MACHINES, `${looks.mock.callCount()} looks at machines`);
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
 import { RateLimiter } from "../src/runtime/rate-limiter.js";
-import { Freshness } from "../src/state/freshness.js";
+import { ReadBarrier } from "../src/state/read-barrier.js";
 import { Replica } from "../src/state/replica.js";
 import { keys } from "../src/state/keys.js";
 
@@ -19,7 +19,7 @@
     ]);
     const went: string[] = [];
     const pass = (cost: number, rank: "ownership" | "user" | "note", name: string, queueTimeoutMs?: number) =>
-      gate.pass(cost, rank, queueTimeoutMs).then((ok) => went.push(ok ? name : `${name} shed`));
+      gate.acquire(cost, rank, queueTimeoutMs).then((ok) => went.push(ok ? name : `${name} shed`));
     void pass(4, "note", "first note");
     void pass(4, "note", "second note");
     void pass(5, "user", "submission");
@@ -42,10 +42,10 @@
 test("one read serves all polls that came before it, and none is answered by a copy older than the read", async () => {
   const replica = new Replica();
   const reads: ((revision: number) => void)[] = [];
-  const state = { revision: () => new Promise<number>((resolve) => reads.push(resolve)) };
-  const freshness = new Freshness(state, replica, 60_000);
+  const state = { currentRevision: () => new Promise<number>((resolve) => reads.push(resolve)) };
+  const freshness = new ReadBarrier(state, replica, 60_000);
   const answered: string[] = [];
-  const ask = (name: string): void => void freshness.now().then(() => answered.push(name));
+  const ask = (name: string): void => void freshness.waitUntilCurrent().then(() => answered.push(name));
   ask("a");
   await turn();
   // These come after the read was sent: another node may have told a newer state in between.
@@ -75,9 +75,9 @@
   replica.write({
     kind: "changes",
     changes: [
-      put(keys.machines("g"), 5),
+      put(keys.machineGroup("g"), 5),
       put(keys.job("req-1"), 2),
-      put(keys.ended("req-9"), 6),
+      put(keys.endedJob("req-9"), 6),
       { key: keys.job("req-1"), version: 4, value: undefined },
     ],
     revision: 6,
@@ -85,8 +85,8 @@
   });
   assert.equal(replica.get(keys.job("req-1")), undefined);
   assert.deepEqual(
-    replica.under("fernpond/live/machines/").map((e) => e.key),
-    [keys.machines("g")],
+    replica.list("fernpond/live/machines/").map((e) => e.key),
+    [keys.machineGroup("g")],
   );
-  assert.equal(replica.get(keys.ended("req-9")), undefined);
+  assert.equal(replica.get(keys.endedJob("req-9")), undefined);
 });
--- a/test/support/cloud.ts
+++ b/test/support/cloud.ts
@@ -1,5 +1,5 @@
 /** A stand-in for the cloud: its machines run a worker stand-in each. */
-import { sleep } from "../../src/runtime/wait.js";
+import { sleep } from "../../src/runtime/sleep.js";
 import { listen, type Listening, type Reply } from "./http.js";
 import {
   WorkerStandIn,
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -4,7 +4,7 @@
 import { createServer, type AddressInfo } from "node:net";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
-import { sleep } from "../../src/runtime/wait.js";
+import { sleep } from "../../src/runtime/sleep.js";
 import type { Direction } from "../../src/links/model.js";
 import { cloud, type Cloud, type CloudObserver } from "./cloud.js";
 import { FaultProxy, type CutMode } from "./fault-proxy.js";
--- a/test/support/faults.ts
+++ b/test/support/faults.ts
@@ -1,5 +1,5 @@
 /** Faults that meet by chance: each begins at some moment and is over after a while. */
-import { sleep } from "../../src/runtime/wait.js";
+import { sleep } from "../../src/runtime/sleep.js";
 import { submission } from "./cluster.js";
 import type { Cuts, Simulation, SimulatedNode, UserJob } from "./simulation.js";
 
--- a/test/support/link-cuts.ts
+++ b/test/support/link-cuts.ts
@@ -1,5 +1,5 @@
 /** Schedules of cuts, heals and restarts, played in a simulated deployment. */
-import { sleep } from "../../src/runtime/wait.js";
+import { sleep } from "../../src/runtime/sleep.js";
 import type { Cut, Cuts, Simulation } from "./simulation.js";
 
 /** A link that a schedule cuts. */
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -1,31 +1,31 @@
 /** Records made by hand, and a view of them such as the replica gives. */
 import { pino } from "pino";
-import type { Change, Entry, JobSpec, MachineType } from "../../src/wire/index.js";
+import type { RecordChange, RecordEntry, JobSpec, MachineType } from "../../src/wire/index.js";
 import type { ReplicaView } from "../../src/state/replica.js";
 
 export const silent = pino({ level: "silent" });
 
 export class FakeView implements ReplicaView {
   revision = 0;
-  asOf = 0;
-  private readonly entries = new Map<string, Entry>();
+  completeAsOf = 0;
+  private readonly entries = new Map<string, RecordEntry>();
 
-  get(key: string): Entry | undefined {
+  get(key: string): RecordEntry | undefined {
     return this.entries.get(key);
   }
 
-  under(prefix: string): Entry[] {
+  list(prefix: string): RecordEntry[] {
     return [...this.entries.values()].filter((e) => e.key.startsWith(prefix));
   }
 
-  put(key: string, value: unknown, version: number): Change {
+  put(key: string, value: unknown, version: number): RecordChange {
     const change = { key, value, version };
     this.entries.set(key, change);
     this.revision = Math.max(this.revision, version);
     return change;
   }
 
-  remove(key: string, version: number): Change {
+  remove(key: string, version: number): RecordChange {
     this.entries.delete(key);
     this.revision = Math.max(this.revision, version);
     return { key, value: undefined, version };
--- a/test/support/simulation.ts
+++ b/test/support/simulation.ts
@@ -5,15 +5,15 @@
  */
 import { mock } from "node:test";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { Controller } from "../../src/controller.js";
+import { Controller } from "../../src/controller/controller.js";
 import { checkOperatorSettings, type OperatorSettings } from "../../src/config/operator.js";
 import type { Settings } from "../../src/config/settings.js";
 import type { Direction } from "../../src/links/model.js";
-import { NoAnswer, type HttpAnswer, type JsonCalls } from "../../src/runtime/http-client.js";
-import { sleep } from "../../src/runtime/wait.js";
-import { PeerSilent, type PeerNetwork } from "../../src/peers/network.js";
+import { NoResponseError, type JsonResponse, type JsonClient } from "../../src/runtime/json-client.js";
+import { sleep } from "../../src/runtime/sleep.js";
+import { PeerUnreachableError, type PeerNetwork } from "../../src/peers/network.js";
 import type { PeerReply, PeerRequest } from "../../src/peers/messages.js";
-import { parseReport, redirectToWire } from "../../src/wire/index.js";
+import { parseHeartbeat, redirectToWire } from "../../src/wire/index.js";
 import { Cloud } from "./cloud.js";
 import { submission, type Answer } from "./cluster.js";
 import { silent } from "./records.js";
@@ -202,7 +202,7 @@
     // Each process has a steady clock of its own, which drifts as much as is allowed.
     const drift = 1 + (this.chance() - 0.5) * 0.001;
     const since = this.now;
-    const state = (alsoCut: () => boolean): JsonCalls =>
+    const state = (alsoCut: () => boolean): JsonClient =>
       this.caller(
         life,
         (direction) => passes(node.cut.state, direction) && node.zone !== this.cutZone && !alsoCut(),
@@ -223,7 +223,7 @@
       peers: this.peersOf(node, life),
     };
     life.controller = new Controller(this.settingsOf(node), this.operator, silent, around);
-    life.end = life.controller.begin();
+    life.end = life.controller.followRecords();
     node.life = life as Life;
   }
 
@@ -237,7 +237,7 @@
   /** A controller that would have broken a rule, and was kept from it at the last moment, has a fault all the same. */
   private checkDecisions(): void {
     for (const { life, name } of this.nodes) {
-      const decisions = life?.controller.door.decisions();
+      const decisions = life?.controller.httpDependencies.decisions();
       if (decisions !== undefined && decisions.violations > 0)
         this.note(`violation: ${name} ${JSON.stringify(decisions.refused)}`);
     }
@@ -304,10 +304,10 @@
     life: Partial<Life>,
     reachable: (direction: Direction) => boolean,
     work: (method: string, path: string, body: unknown) => Reply,
-  ): JsonCalls {
+  ): JsonClient {
     return {
       call: (method, path, body, timeoutMs) =>
-        this.exchange<HttpAnswer>(
+        this.exchange<JsonResponse>(
           life,
           (way) => reachable(way === "request" ? "outbound" : "inbound"),
           async () => {
@@ -315,7 +315,7 @@
             return { status, body: copied(said) };
           },
           timeoutMs,
-          () => new NoAnswer(`${method} ${path}: timed out`),
+          () => new NoResponseError(`${method} ${path}: timed out`),
         ),
     };
   }
@@ -330,12 +330,12 @@
   }
 
   private peersOf(node: SimulatedNode, life: Partial<Life>): PeerNetwork {
-    const network: PeerNetwork & { heardAt: number } = {
-      heardAt: -Infinity,
+    const network: PeerNetwork & { lastResponseAt: number } = {
+      lastResponseAt: -Infinity,
       viewExchange: null,
       listen: () => Promise.resolve(0),
       close: () => undefined,
-      ask: async (name: string, request: PeerRequest, timeoutMs = 500): Promise<PeerReply> => {
+      request: async (name: string, request: PeerRequest, timeoutMs = 500): Promise<PeerReply> => {
         this.peerQuestions++;
         const peer = this.nodes.find((n) => n.name === name)!;
         const reachable = (way: "request" | "answer"): boolean => {
@@ -352,9 +352,9 @@
           return reply;
         };
         let answerView: Uint8Array | undefined;
-        const silence = (): Error => new PeerSilent(name);
+        const silence = (): Error => new PeerUnreachableError(name);
         const reply = await this.exchange(life, reachable, ask, timeoutMs, silence);
-        network.heardAt = life.controller!.clock();
+        network.lastResponseAt = life.controller!.clock();
         if (answerView !== undefined) network.viewExchange?.incoming(answerView);
         return structuredClone(reply);
       },
@@ -374,9 +374,9 @@
     const { life } = node;
     if (life === null) return Promise.reject(new Error("refused"));
     const work = async (): Promise<{ status: number; body: unknown }> => {
-      const parsed = parseReport(JSON.parse(text));
+      const parsed = parseHeartbeat(JSON.parse(text));
       if (!parsed.ok) return { status: 400, body: {} };
-      const routed = await life.controller.door.report(parsed.value);
+      const routed = await life.controller.httpDependencies.routeHeartbeat(parsed.value);
       await sleep(this.chance() * this.answersHeldMs);
       return routed.kind === "commands"
         ? { status: 200, body: copied(routed.body) }
@@ -428,7 +428,7 @@
     const { life } = node;
     if (life === null) return { status: 0, body: {} };
     const work = (): Promise<{ status: number; body: object }> =>
-      life.controller.door.users.answer({ method, path, body: copied(body) });
+      life.controller.httpDependencies.users.handle({ method, path, body: copied(body) });
     const queueTimeoutMs = method === "GET" ? USER_WAIT_MS : 5000;
     try {
       const reachable = (direction: Direction): boolean => passes(node.cut.users, direction);
@@ -441,7 +441,9 @@
 
   /** A controller that is up, as the load balancer would choose it. */
   private anyNode(): SimulatedNode {
-    const up = this.nodes.filter((n) => n.cut.users === false && n.life?.controller.door.healthy());
+    const up = this.nodes.filter(
+      (n) => n.cut.users === false && n.life?.controller.httpDependencies.isHealthy(),
+    );
     return up[this.pick(up.length)] ?? this.nodes[this.pick(this.nodes.length)]!;
   }
 
--- a/test/support/soak/faults.ts
+++ b/test/support/soak/faults.ts
@@ -1,5 +1,5 @@
 /** Carries out the faults of a soak run's plan on a cluster of real processes. */
-import { sleep } from "../../../src/runtime/wait.js";
+import { sleep } from "../../../src/runtime/sleep.js";
 import type { Cluster } from "../cluster.js";
 import type { TransactionFate } from "../state-service.js";
 import type { WorkerStandIn } from "../worker.js";
--- a/test/support/soak/run.ts
+++ b/test/support/soak/run.ts
@@ -1,7 +1,7 @@
 /** One soak run: real controllers, stand-ins around them, the plan of a seed, and what the checker finds. */
 import { mkdirSync, readFileSync, readdirSync, rmSync, writeFileSync } from "node:fs";
 import { join, resolve } from "node:path";
-import { sleep } from "../../../src/runtime/wait.js";
+import { sleep } from "../../../src/runtime/sleep.js";
 import { Cluster } from "../cluster.js";
 import { checkSoak, type SoakFindings, type SoakJob } from "./checker.js";
 import { FaultPlayer, MessageFaults } from "./faults.js";
--- a/test/support/soak/users.ts
+++ b/test/support/soak/users.ts
@@ -1,5 +1,5 @@
 /** Users of a soak run: they submit, ask, repeat and call off at whichever controller, until each job has ended. */
-import { sleep } from "../../../src/runtime/wait.js";
+import { sleep } from "../../../src/runtime/sleep.js";
 import { submission, type Answer, type Cluster } from "../cluster.js";
 import { CONTROLLERS, type Luck, type PlannedJob } from "./plan.js";
 import type { SoakRecorder } from "./recorder.js";
--- a/test/support/worker.ts
+++ b/test/support/worker.ts
@@ -1,5 +1,5 @@
 /** A stand-in for one machine's worker, from the published protocol. */
-import { sleep } from "../../src/runtime/wait.js";
+import { sleep } from "../../src/runtime/sleep.js";
 
 interface Piece {
   piece: string;
--- a/test/support/workload.ts
+++ b/test/support/workload.ts
@@ -1,5 +1,5 @@
 /** Users who submit whatever they may: jobs of all shapes, teams and ranks. */
-import { sleep } from "../../src/runtime/wait.js";
+import { sleep } from "../../src/runtime/sleep.js";
 import type { Simulation, UserJob } from "./simulation.js";
 
 /** Teams without a limit, with one, and with one that is soon reached. */
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -1,17 +1,17 @@
 /** Jobs that pass to another shard: who is chosen, on what terms, and what their own shard goes on counting. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { chooseTransfer } from "../src/autoscaling/decide.js";
-import type { FreeRoom, Summary, WaitingJob } from "../src/peers/messages.js";
-import { QuotaReservations } from "../src/placement/quota-reservations.js";
-import { Shard } from "../src/placement/shard.js";
+import { chooseJobMigration } from "../src/autoscaling/scaling-policy.js";
+import type { FreeCapacity, ShardSummary, MigrationCandidate } from "../src/peers/messages.js";
+import { QuotaReservations } from "../src/shards/quota-reservations.js";
+import { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
 import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 
 const GONE_MS = 1000;
 
-function summary(shard: number, over: Partial<Summary>): Summary {
+function summary(shard: number, over: Partial<ShardSummary>): ShardSummary {
   const load = { up: 0, empty: 0, cpus: 0, used: 0, waiting: 0 };
   return {
     shard,
@@ -26,12 +26,12 @@
   };
 }
 
-function waiting(job: string, cpus: number, waitedMs: number): WaitingJob {
+function waiting(job: string, cpus: number, waitedMs: number): MigrationCandidate {
   const task = { cpus, gpus: 0, memoryGb: 1, types: [], zone: "north", spot: true, count: 1 };
   return { job, task: { ...task, priority: "normal" }, waitedMs };
 }
 
-const room = (cpus: number, zone = "north"): FreeRoom => ({
+const room = (cpus: number, zone = "north"): FreeCapacity => ({
   type: "small",
   zone,
   spot: false,
@@ -44,7 +44,7 @@
   const giver = summary(0, {
     waiting: [waiting("req-1", 3, 60_000), waiting("req-2", 1, 50_000), waiting("req-3", 1, 55_000)],
   });
-  assert.deepEqual(chooseTransfer([giver, summary(1, { rooms: [room(2)] })]), {
+  assert.deepEqual(chooseJobMigration([giver, summary(1, { rooms: [room(2)] })]), {
     shard: 0,
     to: 1,
     job: "req-3",
@@ -53,9 +53,9 @@
 
 test("no job passes to its own shard, to another zone, or to a shard that has not heard its machines", () => {
   const giver = summary(0, { waiting: [waiting("req-1", 1, 60_000)], rooms: [room(4)] });
-  assert.equal(chooseTransfer([giver, summary(1, { rooms: [room(4, "south")] })]), null);
-  assert.equal(chooseTransfer([giver, summary(1, { rooms: [room(4)], recovered: false })]), null);
-  assert.equal(chooseTransfer([giver, undefined]), null);
+  assert.equal(chooseJobMigration([giver, summary(1, { rooms: [room(4, "south")] })]), null);
+  assert.equal(chooseJobMigration([giver, summary(1, { rooms: [room(4)], recovered: false })]), null);
+  assert.equal(chooseJobMigration([giver, undefined]), null);
 });
 
 test("what a job may use elsewhere counts until its last task is surely gone", () => {
@@ -83,29 +83,29 @@
 test("a job passes on with as many tasks at once as its team's limit leaves, and its shard counts them", () => {
   const { shard } = cappedShard();
   assert.equal(shard.summary(3, 0).waiting[0]?.job, "req-1");
-  const prepared = shard.beginTransfer("req-1", 0);
+  const prepared = shard.beginMigration("req-1", 0);
   assert.ok(prepared !== null, "it may pass on");
-  assert.equal(prepared.terms.mostAtOnce, 4);
+  assert.equal(prepared.terms.maxParallelTasks, 4);
   assert.deepEqual(prepared.terms.reservation, { team: "capped", cpus: 4, gpus: 0 });
-  assert.equal(prepared.terms.guest, true, "it goes to a shard of another team");
-  assert.equal(shard.beginTransfer("req-1", 0), null, "not twice");
+  assert.equal(prepared.terms.migratedIn, true, "it goes to a shard of another team");
+  assert.equal(shard.beginMigration("req-1", 0), null, "not twice");
   assert.deepEqual(shard.summary(3, 0).waiting, []);
-  shard.transferFailed(prepared.job);
+  shard.migrationFailed(prepared.job);
   assert.equal(shard.summary(3, 0).waiting[0]?.job, "req-1", "it may pass later");
 });
 
 test("a new owner goes on counting what has passed on, also where the job ended meanwhile", () => {
   const { view } = cappedShard();
-  view.put(keys.quota(1, "req-9"), { team: "capped", cpus: 3, gpus: 0 }, 6);
+  view.put(keys.quotaReservation(1, "req-9"), { team: "capped", cpus: 3, gpus: 0 }, 6);
   const types = new Map([[smallType.name, smallType]]);
   const { cancelMs } = testSettings().workers;
   const shard = new Shard(1, 7, 0, testSettings(), () => types, view, silent);
-  assert.equal(shard.beginTransfer("req-1", 0), null, "the limit leaves less than the job could use");
+  assert.equal(shard.beginMigration("req-1", 0), null, "the limit leaves less than the job could use");
   shard.expire(cancelMs);
-  assert.deepEqual(shard.progressed(4), [], "its tasks may still be there");
+  assert.deepEqual(shard.takeProgress(4), [], "its tasks may still be there");
   shard.expire(cancelMs + 1);
-  assert.equal(shard.beginTransfer("req-1", 0)?.terms.mostAtOnce, 4);
-  assert.deepEqual(shard.progressed(4)[0]?.writes, [{ remove: keys.quota(1, "req-9") }]);
+  assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
+  assert.deepEqual(shard.takeProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-9") }]);
 });
 
 test("a job that is told done is counted no longer, and one that is cancelled for as long as its tasks may go on", () => {
@@ -114,13 +114,13 @@
     ["req-8", "done"],
     ["req-9", "cancelled"],
   ] as const) {
-    shard.sync(view, [view.put(keys.quota(1, id), { team: "capped", cpus: 1, gpus: 0 }, 6)], 0);
-    shard.sync(view, [view.put(keys.ended(id), { stage, done: 1 }, 7)], 0);
+    shard.sync(view, [view.put(keys.quotaReservation(1, id), { team: "capped", cpus: 1, gpus: 0 }, 6)], 0);
+    shard.sync(view, [view.put(keys.endedJob(id), { stage, done: 1 }, 7)], 0);
   }
-  assert.deepEqual(shard.progressed(4)[0]?.writes, [{ remove: keys.quota(1, "req-8") }]);
-  assert.equal(shard.beginTransfer("req-1", 0), null, "the cancelled one counts");
+  assert.deepEqual(shard.takeProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-8") }]);
+  assert.equal(shard.beginMigration("req-1", 0), null, "the cancelled one counts");
   shard.expire(testSettings().workers.cancelMs + 1);
-  assert.equal(shard.beginTransfer("req-1", 0)?.terms.mostAtOnce, 4);
+  assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
 });
 
 test("a shard gives up a job whose record names another, and the other takes it on its terms", () => {
@@ -155,7 +155,7 @@
     const spec = jobSpec(`req-${i}`, { team: "capped", tasks: 6, zone: "south", cpus: 0.5 + i / 1000 });
     view.put(keys.job(spec.id), { spec, shard: 1, acceptedAt: Date.now() - 60_000 }, 5);
   }
-  view.put(keys.quota(1, "req-999"), { team: "capped", cpus: 4, gpus: 0 }, 6);
+  view.put(keys.quotaReservation(1, "req-999"), { team: "capped", cpus: 4, gpus: 0 }, 6);
   const types = new Map([[smallType.name, smallType]]);
   const shard = new Shard(1, 3, 0, testSettings(), () => types, view, silent);
   let looks = 0;
