--- /dev/null
+++ b/test/stored-record-shapes.test.ts
@@ -0,0 +1,71 @@
+/** All that a whole deployment writes to the state service on a simulated day: kinds of keys, fields and their types. */
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { parseReport } from "../src/wire/index.js";
+import { readFixture } from "./support/fixtures.js";
+import { jobTransfers } from "./support/job-transfers.js";
+import { ShapeInventory } from "./support/record-shapes.js";
+import { Simulation } from "./support/simulation.js";
+import { TEAMS } from "./support/workload.js";
+
+/** More tasks than share a record with other jobs. */
+const MANY_TASKS = 7000;
+
+/** A worker shows its owner a token that is higher than its shard's, as one that comes from another shard may. */
+function showHigherToken(world: Simulation): void {
+  const [host] = world.cloud.machines.keys();
+  const machine = { host, addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
+  const report = parseReport({ ...machine, tenure: 1, tick: 1, baton: 1_000_000, pieces: [] });
+  assert.ok(report.ok);
+  for (const { life } of world.nodes) void life!.controller.door.report(report.value);
+}
+
+/** A machine that no order of the program brought. */
+function rentByHand(world: Simulation): void {
+  world.cloud.capacity++;
+  const rental = { hire: "by-hand", breed: "small", bank: "north", loaners: false, count: 1 };
+  world.cloud.handle("POST", new URL("http://cloud/rentals"), rental);
+}
+
+/** Every kind of record comes up: optional fields of jobs, completed tasks, and an owner that does not reach the leader. */
+async function eventfulDay(world: Simulation): Promise<void> {
+  await world.run(10_000);
+  await jobTransfers[0]!.play(world);
+  world.cloud.capacity = 12;
+  const restricted = { breeds: ["small"], bank: "north", dueS: 3600, markEveryS: 10, markCostS: 1 };
+  world.submit("req-10", { pieces: 3, ...restricted });
+  const array = world.submit("req-11", { pieces: MANY_TASKS, vcpus: 0.5, rank: "urgent" });
+  await world.run(30_000);
+  void world.cancel(array);
+  showHigherToken(world);
+  rentByHand(world);
+  await world.run(10_000);
+  const crews = ["free", "capped", "tight"];
+  const shard = crews.findIndex((_, candidate) => world.ownerOf(candidate) !== world.leader());
+  const owner = world.ownerOf(shard)!;
+  owner.cut.peers = true;
+  world.submit("req-12", { crew: crews[shard], pieces: 12, vcpus: 2 });
+  await world.run(10_000);
+  owner.cut.peers = false;
+  world.crash(owner);
+  await world.run(20_000);
+  world.launch(owner);
+  await world.run(60_000);
+}
+
+void describe("records of a simulated deployment", () => {
+  test("every record that is written has a known kind of key and the known fields", async () => {
+    const world = Simulation.start(3, 1, { teams: TEAMS });
+    const inventory = new ShapeInventory();
+    world.store.onChange = (change) => {
+      if ("put" in change) inventory.add(change.put, JSON.parse(JSON.stringify(change.value)));
+    };
+    try {
+      await eventfulDay(world);
+    } finally {
+      world.close();
+    }
+    assert.deepEqual(world.broken, []);
+    assert.deepEqual(inventory.all, readFixture("stored-record-shapes"));
+  });
+});
--- /dev/null
+++ b/test/stored-records.test.ts
@@ -0,0 +1,156 @@
+/** The records in the state service, byte for byte: versions of the program take over from each other with all that is stored. */
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { fromDemandRecord } from "../src/autoscaling/demand-record.js";
+import { Bits, CHUNK_TASKS } from "../src/jobs/bits.js";
+import { durablyDone } from "../src/jobs/progress.js";
+import { readDone, readEnded, readJob, readQuotaReservation } from "../src/jobs/records.js";
+import { readCluster } from "../src/membership/records.js";
+import type { MachineType } from "../src/wire/index.js";
+import { Fleet } from "../src/workers/fleet.js";
+import { assertSameJson, readFixture } from "./support/fixtures.js";
+import {
+  FULL_SUBMISSION,
+  NOW,
+  rentalForRecordedOrder,
+  SCENARIO_NAMES,
+  specOf,
+  transactionsOf,
+  type StoredTransaction,
+} from "./support/record-writers.js";
+import { FakeView, silent } from "./support/records.js";
+
+const fixture = readFixture("stored-records") as Record<string, StoredTransaction[]>;
+
+/** The values that a scenario of the fixture puts under a key, in order. */
+const valuesOf = (scenario: string, key: string): unknown[] =>
+  fixture[scenario]!.flatMap(({ apply }) => apply.filter(({ put }) => put === key).map(({ value }) => value));
+
+/** A view of records under the keys that the fixture has them under. */
+function viewOf(records: [key: string, value: unknown][]): FakeView {
+  const view = new FakeView();
+  records.forEach(([key, value], index) => {
+    assert.notEqual(value, undefined, `${key} is in the fixture`);
+    view.put(key, value, index + 1);
+  });
+  return view;
+}
+
+void describe("writes to the state service", () => {
+  for (const scenario of SCENARIO_NAMES)
+    test(`${scenario}: keys, values and conditions are as ever`, async () => {
+      assertSameJson(await transactionsOf(scenario), fixture[scenario]);
+    });
+
+  test("every transaction of the fixture is checked", () => {
+    assert.deepEqual(SCENARIO_NAMES, Object.keys(fixture));
+  });
+});
+
+void describe("membership/records", () => {
+  test("members, the leader and owners are read, with the mark of a token that an owner advanced", () => {
+    const [member] = valuesOf("membership", "fernpond/live/members/node-a");
+    const [leader] = valuesOf("membership", "fernpond/live/leader");
+    const [, advanced] = valuesOf("membership", "fernpond/live/shards/0");
+    const view = viewOf([
+      ["fernpond/live/members/node-a", member],
+      ["fernpond/live/leader", leader],
+      ["fernpond/live/shards/0", advanced],
+    ]);
+    const me = { node: "node-a", incarnation: "a.1" };
+    const mark = "00000000-0000-4000-8000-000000000001";
+    assert.deepEqual(readCluster(view, 2), {
+      members: new Map([["node-a", { ...me, version: 1 }]]),
+      leader: { ...me, version: 2 },
+      shards: [{ ...me, mark, version: 3 }, null],
+    });
+  });
+});
+
+void describe("jobs/records", () => {
+  test("a job is read as it was submitted, with its shard and when it was accepted", () => {
+    const [full] = valuesOf("jobs", "fernpond/live/jobs/req-1");
+    const [plain] = valuesOf("jobs", "fernpond/live/jobs/req-2");
+    const spec = specOf("req-1", FULL_SUBMISSION);
+    assert.deepEqual(readJob(full), { spec, shard: 1, acceptedAt: NOW });
+    assert.deepEqual(readJob(plain), { spec: specOf("req-2"), shard: 0, acceptedAt: NOW });
+  });
+
+  test("a job that has passed to another shard is read with its bound, and its former shard's reservation as well", () => {
+    const [passed] = valuesOf("transfer", "fernpond/live/jobs/req-1");
+    const spec = specOf("req-1", { crew: "capped", bank: "south" });
+    assert.deepEqual(readJob(passed), { spec, shard: 0, acceptedAt: NOW, mostAtOnce: 4, guest: true });
+    const [reservation] = valuesOf("transfer", "fernpond/live/quota/1/req-1");
+    assert.deepEqual(readQuotaReservation(reservation), { team: "capped", cpus: 4, gpus: 0 });
+  });
+
+  test("a job that is over is read with its final stage and what was done", () => {
+    const [done] = valuesOf("completion", "fernpond/ended/req-1");
+    const [cancelled] = valuesOf("jobs", "fernpond/ended/req-2");
+    assert.deepEqual(readEnded(done), { stage: "done", done: 3 });
+    assert.deepEqual(readEnded(cancelled), { stage: "cancelled", done: 0 });
+  });
+
+  test("completed tasks are read from a page of many jobs and from a record of one large job", () => {
+    const [page] = valuesOf("completion", "fernpond/live/done/1/0");
+    assert.equal(durablyDone(viewOf([["fernpond/live/done/1/0", page]]), 1, "req-1", 3), 2);
+    const [chunk] = valuesOf("completion", "fernpond/live/done/req-2/1");
+    const bits = new Bits(CHUNK_TASKS + 16);
+    bits.mergeChunk(1, readDone(chunk)!);
+    assert.equal(bits.count, 2);
+    assert.ok(bits.has(CHUNK_TASKS) && bits.has(CHUNK_TASKS + 15));
+  });
+});
+
+void describe("workers/records", () => {
+  test("machines are read out of their group, with their stage", () => {
+    const [up, leaving] = valuesOf("machines", "fernpond/live/machines/group-1");
+    const known = { shard: 0, type: "small", zone: "north", spot: true, since: NOW };
+    const group = "fernpond/live/machines/group-1";
+    const read = (value: unknown, host: string) => {
+      const fleet = new Fleet(silent);
+      fleet.follow(viewOf([[group, value]]), null);
+      return fleet.get(host);
+    };
+    assert.deepEqual(read(up, "i-1"), { group, ...known, drain: false, up: true });
+    assert.deepEqual(read(up, "i-3"), { group, ...known, drain: false, up: false });
+    assert.deepEqual(read(leaving, "i-1"), { group, ...known, drain: true, up: true });
+  });
+});
+
+void describe("autoscaling", () => {
+  test("a recorded order whose answer never came is sent again under its name", async () => {
+    const name = "fp-00000000-0000-4000-8000-000000000001";
+    const key = `fernpond/live/orders/${name}`;
+    const [order] = valuesOf("autoscaling", key);
+    assertSameJson(await rentalForRecordedOrder(key, order), [
+      { hire: name, breed: "small", bank: "south", loaners: false, count: 4 },
+    ]);
+  });
+
+  test("demand that an owner has left in the records is read as the shard's", () => {
+    const [record] = valuesOf("demand", "fernpond/live/demand/1");
+    const read = fromDemandRecord(1, record, []);
+    const needs = { cpus: 2, gpus: 0, memoryGb: 4.5, types: ["small"], zone: "south", spot: false };
+    assert.deepEqual(
+      [read?.shard, read?.token, read?.recovered, read?.demand],
+      [1, 1, true, [{ ...needs, count: 4, priority: "urgent" }]],
+    );
+  });
+
+  test("a machine type is stored as the program knows it", () => {
+    const type: MachineType = {
+      name: "small",
+      cpus: 4,
+      gpus: 1,
+      memoryGb: 16,
+      cacheGb: 50,
+      fetchGbPerS: 0.25,
+      price: 1.5,
+      spotPrice: 0.5,
+      bootS: 20,
+      zones: ["north", "south"],
+    };
+    assertSameJson(valuesOf("autoscaling", "fernpond/live/types/small"), [type]);
+  });
+});
--- /dev/null
+++ b/test/support/peer-frames.ts
@@ -0,0 +1,198 @@
+/**
+ * What the frames in fixtures/peer-frames.json mean in the program's own terms: one function for each message, so that a
+ * name that changes in the program changes here, and never in the fixture.
+ */
+import type { LinkView } from "../../src/links/views.js";
+import type {
+  Demand,
+  FreeRoom,
+  Frame,
+  MachineCondition,
+  MachineSummary,
+  PeerReply,
+  PeerRequest,
+  ShardLoadReport,
+  WaitingJob,
+} from "../../src/peers/messages.js";
+
+/** A frame in the fixture. */
+export interface FrameFixture {
+  /** The message's field of the frame. */
+  message: string;
+  id: number;
+  reply: boolean;
+  meaning: unknown;
+  hex: string;
+  /** The same frame with the link view of the fixture. */
+  hexWithLinkView: string;
+}
+
+/** The whole fixture. */
+export interface PeerFrameFixtures {
+  linkView: { meaning: LinkViewMeaning; hex: string };
+  frames: FrameFixture[];
+}
+
+interface LinkViewMeaning {
+  version: number;
+  node: string;
+  incarnation: string;
+  sequence: number;
+  links: { link: string; direction: string; state: string }[];
+  misrouted: { shard: number; workers: number; term: number }[];
+}
+
+interface DemandMeaning {
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+  types: string[];
+  zone: string;
+  spot: boolean;
+  count: number;
+  priority: string;
+}
+
+interface LoadMeaning {
+  up: number;
+  empty: number;
+  cpus: number;
+  used: number;
+  waiting: number;
+}
+
+interface SummaryMeaning {
+  shard: number;
+  token: number;
+  recovered: boolean;
+  demand: DemandMeaning[];
+  machines: { host: string; state: string; forMs: number; emptyReports: number }[];
+  load: LoadMeaning;
+  rooms: { type: string; zone: string; spot: boolean; cpus: number; gpus: number; memoryGb: number }[];
+  waiting: { job: string; task: DemandMeaning; waitedMs: number }[];
+}
+
+const demand = ({ cpus, gpus, memoryGb, types, zone, spot, count, priority }: DemandMeaning): Demand => ({
+  cpus,
+  gpus,
+  memoryGb,
+  types,
+  zone,
+  spot,
+  count,
+  priority,
+});
+
+const load = ({ up, empty, cpus, used, waiting }: LoadMeaning): ShardLoadReport["load"] => ({
+  up,
+  empty,
+  cpus,
+  used,
+  waiting,
+});
+
+const machine = ({
+  host,
+  state,
+  forMs,
+  emptyReports,
+}: SummaryMeaning["machines"][number]): MachineSummary => ({
+  host,
+  state: state as MachineCondition,
+  forMs,
+  emptyReports,
+});
+
+const room = ({ type, zone, spot, cpus, gpus, memoryGb }: SummaryMeaning["rooms"][number]): FreeRoom => ({
+  type,
+  zone,
+  spot,
+  cpus,
+  gpus,
+  memoryGb,
+});
+
+const waitingJob = ({ job, task, waitedMs }: SummaryMeaning["waiting"][number]): WaitingJob => ({
+  job,
+  task: demand(task),
+  waitedMs,
+});
+
+const requests: Record<string, (meaning: never) => PeerRequest> = {
+  summary: (meaning: SummaryMeaning) => ({
+    summary: {
+      shard: meaning.shard,
+      token: meaning.token,
+      recovered: meaning.recovered,
+      demand: meaning.demand.map(demand),
+      machines: meaning.machines.map(machine),
+      load: load(meaning.load),
+      rooms: meaning.rooms.map(room),
+      waiting: meaning.waiting.map(waitingJob),
+    },
+  }),
+  ping: () => ({ ping: {} }),
+  drain: ({ shard, hosts }: { shard: number; hosts: string[] }) => ({ drain: { shard, hosts } }),
+  give: ({ shard, to, hosts }: { shard: number; to: number; hosts: string[] }) => ({
+    give: { shard, to, hosts },
+  }),
+  cordon: ({ shard, to, demand: wanted }: { shard: number; to: number; demand: DemandMeaning }) => ({
+    cordon: { shard, to, demand: demand(wanted) },
+  }),
+  transfer: ({ shard, to, job }: { shard: number; to: number; job: string }) => ({
+    transfer: { shard, to, job },
+  }),
+  cancelled: ({ shard, job }: { shard: number; job: string }) => ({ cancelled: { shard, job } }),
+  hand_over: ({ shard, to }: { shard: number; to: string }) => ({ handOver: { shard, to } }),
+  misroutedHeartbeat: ({ shard, cameTo }: { shard: number; cameTo: string }) => ({
+    misroutedHeartbeat: { shard, cameTo },
+  }),
+  lookup: ({ shard, job }: { shard: number; job: string }) => ({ lookup: { shard, job } }),
+  forward: ({ method, path, body }: { method: string; path: string; body: string }) => ({
+    forward: { method, path, body },
+  }),
+  link_status: () => ({ linkStatus: {} }),
+};
+
+const replies: Record<string, (meaning: never) => PeerReply> = {
+  loads: ({ notes }: { notes: { shard: number; load: LoadMeaning }[] }) => ({
+    loads: { notes: notes.map((note) => ({ shard: note.shard, load: load(note.load) })) },
+  }),
+  accepted: ({ hosts }: { hosts: string[] }) => ({ accepted: { hosts } }),
+  counts: ({ known, done, running }: { known: boolean; done: number; running: number }) => ({
+    counts: { known, done, running },
+  }),
+  answer: ({ status, body }: { status: number; body: string }) => ({ answer: { status, body } }),
+  link_report: ({ json }: { json: string }) => ({ linkReport: { json } }),
+};
+
+/** All messages, by their fields of the frame. */
+export const MESSAGES = { requests: Object.keys(requests), replies: Object.keys(replies) };
+
+/** A frame of the fixture as the program has it. */
+export function frameOf({ id, reply, message, meaning }: FrameFixture): Frame {
+  return reply
+    ? { id, reply, body: replies[message]!(meaning as never) }
+    : { id, reply, body: requests[message]!(meaning as never) };
+}
+
+/** The link view of the fixture as the program has it. */
+export function linkViewOf({
+  version,
+  node,
+  incarnation,
+  sequence,
+  links,
+  misrouted,
+}: LinkViewMeaning): LinkView {
+  return {
+    version,
+    node,
+    incarnation,
+    sequence,
+    links: links.map(
+      ({ link, direction, state }) => ({ link, direction, state }) as LinkView["links"][number],
+    ),
+    misrouted: misrouted.map(({ shard, workers, term }) => ({ shard, workers, term })),
+  };
+}
--- /dev/null
+++ b/test/support/record-writers.ts
@@ -0,0 +1,378 @@
+/** Carries out, through the program's own code, every kind of write to the state service, and keeps the transactions. */
+import { mock } from "node:test";
+import { Autoscaler } from "../../src/autoscaling/autoscaler.js";
+import { CloudClient } from "../../src/cloud/client.js";
+import { checkOperatorSettings } from "../../src/config/operator.js";
+import { Freshness } from "../../src/state/freshness.js";
+import { JobService } from "../../src/jobs/service.js";
+import { CHUNK_TASKS } from "../../src/jobs/bits.js";
+import { ShardAssignment } from "../../src/jobs/shard-assignment.js";
+import { entryOf } from "../../src/membership/decide.js";
+import { Membership } from "../../src/membership/membership.js";
+import type { Summary } from "../../src/peers/messages.js";
+import { CompletionLog, type Completion } from "../../src/placement/completion-log.js";
+import { JobTransfers } from "../../src/placement/job-transfers.js";
+import { Shard } from "../../src/placement/shard.js";
+import type { JsonCalls } from "../../src/runtime/http-client.js";
+import { StateClient } from "../../src/state/client.js";
+import { keys } from "../../src/state/keys.js";
+import { SummaryExchange } from "../../src/summary-exchange.js";
+import { parseReport, parseSubmission, type JobSpec, type Write } from "../../src/wire/index.js";
+import { Fleet } from "../../src/workers/fleet.js";
+import { Job } from "../../src/workers/model.js";
+import { submission } from "./cluster.js";
+import { FakeView, jobSpec, silent, smallType } from "./records.js";
+import { testSettings } from "./settings.js";
+import { StateStore } from "./state-service.js";
+
+/** A transaction as it is sent. */
+export interface StoredTransaction {
+  guards: { path: string; stamp: number }[];
+  apply: { put?: string; value?: unknown; hold?: number; remove?: string }[];
+}
+
+export const NOW = 1_700_000_000_000;
+const SHARDS = 2;
+
+/** Lets all that is under way come to its end. */
+async function settle(): Promise<void> {
+  for (let turns = 0; turns < 20; turns++) await new Promise((resolve) => setImmediate(resolve));
+}
+
+/** The state service in this process, its real client, and a copy of the records. */
+class RecordingState {
+  readonly transactions: StoredTransaction[] = [];
+  readonly view = new FakeView();
+  readonly client: StateClient;
+  readonly store = new StateStore();
+
+  constructor() {
+    const http: JsonCalls = {
+      call: async (method, path, body) => {
+        const sent: unknown = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
+        const answer = await this.store.handle(0, method, new URL(path, "http://state"), sent);
+        if (path === "/multi" && answer.status === 200) this.transactions.push(sent as StoredTransaction);
+        return { status: answer.status, body: answer.body };
+      },
+    };
+    this.client = new StateClient(http, http, { rps: 1000, writeRps: 1000, txnOps: 8 }, 1, () => 0, 1000);
+    this.store.onChange = (change) => {
+      if ("put" in change) this.view.put(change.put, change.value, change.stamp);
+      else this.view.remove(change.remove, change.stamp);
+    };
+  }
+
+  /** Puts records that are not what is looked at. */
+  async prepare(...writes: Write[]): Promise<void> {
+    await this.client.commit([], writes, "note");
+    this.transactions.length = 0;
+  }
+}
+
+/** Runs a scenario with time of day and generated names fixed, and returns the transactions it committed. */
+async function recorded(work: (state: RecordingState) => Promise<void>): Promise<StoredTransaction[]> {
+  const state = new RecordingState();
+  let names = 0;
+  mock.timers.enable({ apis: ["Date"], now: NOW });
+  mock.method(crypto, "randomUUID", () => `00000000-0000-4000-8000-00000000000${++names}`);
+  try {
+    await work(state);
+  } finally {
+    state.store.close();
+    mock.timers.reset();
+    mock.restoreAll();
+  }
+  return state.transactions;
+}
+
+/** A controller enters, leads, assigns shards, advances a token, hands the shard over and resigns. */
+async function membershipRecords(state: RecordingState): Promise<void> {
+  const { guards, writes } = entryOf(
+    { node: "node-b", incarnation: "b.1" },
+    await state.client.grant(60_000),
+    0,
+  );
+  await state.client.commit(guards, writes, "ownership");
+  const figures = { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 };
+  const hooks = { ownership: () => undefined, askHandOver: () => undefined, unsuited: () => false };
+  const me = { node: "node-a", incarnation: "a.1" };
+  const { client, view } = state;
+  const membership = new Membership(me, SHARDS, SHARDS, figures, client, view, () => 0, hooks, silent);
+  const messages = [
+    { kind: "tick" },
+    { kind: "records" },
+    { kind: "records" },
+    { kind: "records" },
+    { kind: "advance_token", shard: 0 },
+    { kind: "records" },
+    { kind: "hand_over", shard: 0, to: "node-b" },
+    { kind: "records" },
+    { kind: "resign" },
+  ] as const;
+  for (const message of messages) {
+    membership.tell(message);
+    await settle();
+  }
+}
+
+/** A submission with everything optional in it. */
+export const FULL_SUBMISSION = {
+  lane: "nightly",
+  crew: "capped",
+  rank: "urgent",
+  pieces: 4,
+  vcpus: 1.5,
+  memGb: 2.25,
+  bundle: "registry/model:7",
+  imageGb: 3.5,
+  breeds: ["small"],
+  bank: "south",
+  together: true,
+  guessS: 90,
+  markEveryS: 30,
+  markCostS: 2,
+  dueS: 3600,
+};
+
+export function specOf(id: string, over: Record<string, unknown> = {}): JobSpec {
+  const parsed = parseSubmission(submission(id, over));
+  if (!parsed.ok) throw new Error(parsed.error);
+  return parsed.value;
+}
+
+const types = new Map([[smallType.name, smallType]]);
+
+function jobService({ client, view }: RecordingState): JobService {
+  const settings = testSettings({ controllers: SHARDS });
+  const freshness = new Freshness(client, { reach: () => Promise.resolve() }, 1000);
+  const assignment = new ShardAssignment(settings.teams, SHARDS);
+  const countsOf = () => Promise.resolve(null);
+  const tell = () => undefined;
+  return new JobService(
+    settings,
+    client,
+    view,
+    freshness,
+    () => types,
+    assignment,
+    countsOf,
+    tell,
+    1000,
+    silent,
+  );
+}
+
+/** Two jobs are accepted, one with everything optional set, and one of them is cancelled. */
+async function jobRecords(state: RecordingState): Promise<void> {
+  const service = jobService(state);
+  await service.submit(specOf("req-1", FULL_SUBMISSION));
+  await service.submit(specOf("req-2"));
+  await service.cancel("req-2");
+}
+
+/** A job of a team with a limit passes to a shard of another team. */
+async function transferRecords(state: RecordingState): Promise<void> {
+  const owner = { node: "node-a", incarnation: "a.1" };
+  await state.prepare({ put: keys.shard(0), value: owner }, { put: keys.shard(1), value: owner });
+  await jobService(state).submit(specOf("req-1", { crew: "capped", bank: "south" }));
+  state.transactions.length = 0;
+  mock.timers.tick(60_000);
+  const token = state.view.get(keys.shard(1))!.version;
+  const shard = new Shard(1, token, 0, testSettings(), () => types, state.view, silent);
+  const term = { token: () => token, over: () => false };
+  await new JobTransfers(shard, term, 1000, state.client, state.view, () => 0, silent).transfer("req-1", 0);
+}
+
+/** Tasks of a small and of a large job complete, and then all of the small one. */
+async function completionRecords(state: RecordingState): Promise<void> {
+  const log = new CompletionLog(1, 8192, silent, () => undefined);
+  const small = new Job(jobSpec("req-1", { tasks: 3 }), NOW, 0);
+  const large = new Job(jobSpec("req-2", { tasks: CHUNK_TASKS + 16 }), NOW, 0);
+  const complete = (job: Job, ...indexes: number[]): void => {
+    for (const index of indexes) {
+      job.done.add(index);
+      log.add(job, index);
+    }
+  };
+  const write = async (completions: Completion[]): Promise<void> => {
+    for (const completion of completions) {
+      await state.client.commit(completion.guards, completion.writes, "result");
+      completion.durable();
+    }
+  };
+  complete(small, 0, 2);
+  complete(large, CHUNK_TASKS, CHUNK_TASKS + 15);
+  await write(log.progressed(8));
+  complete(small, 1);
+  await write(log.finished(8, () => true));
+}
+
+const summary = (shard: number): Summary => ({
+  shard,
+  token: 1,
+  recovered: true,
+  demand: [
+    {
+      cpus: 2,
+      gpus: 0,
+      memoryGb: 4.5,
+      types: ["small"],
+      zone: "south",
+      spot: false,
+      count: 4,
+      priority: "urgent",
+    },
+  ],
+  machines: [],
+  load: { up: 0, empty: 0, cpus: 0, used: 0, waiting: 8 },
+  rooms: [],
+  waiting: [],
+});
+
+const CATALOGUE = {
+  breeds: [
+    {
+      label: "small",
+      vcpus: 4,
+      cards: 1,
+      memGb: 16,
+      cacheGb: 50,
+      pullGbPerS: 0.25,
+      hourly: 1.5,
+      lowPrice: 0.5,
+      readyS: 20,
+      banks: ["north", "south"],
+    },
+  ],
+};
+
+const unknownMachine = (tick: number) => {
+  const said = { host: "i-9", addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
+  const report = parseReport({ ...said, tenure: 1, tick, baton: 0, pieces: [] });
+  if (!report.ok) throw new Error(report.error);
+  return { kind: "unknown_machine", report: report.value } as const;
+};
+
+/** An autoscaler that leads, and steps of a second in which it makes a pass. */
+async function autoscaling(state: RecordingState, rent: (body: unknown) => void) {
+  let now = 0;
+  const cloud: JsonCalls = {
+    call: (method, path, body) => {
+      if (path === "/flavors") return Promise.resolve({ status: 200, body: CATALOGUE });
+      if (method === "POST") rent(body);
+      const hosts = method === "POST" ? ["i-1", "i-2", "i-3"] : [];
+      return Promise.resolve({ status: 200, body: { hosts, truncated: false } });
+    },
+  };
+  const fleet = new Fleet(silent);
+  const settings = testSettings({ controllers: SHARDS });
+  const clock = (): number => now;
+  const hooks = {
+    leadership: () => state.view.get(keys.leader)?.version ?? null,
+    askOwner: () => Promise.resolve({ accepted: { hosts: [] } }),
+    mayCallCloud: () => true,
+  };
+  const client = new CloudClient(cloud, 100, clock, 1000);
+  const operator = checkOperatorSettings({});
+  const autoscaler = new Autoscaler(
+    settings,
+    operator,
+    client,
+    state.client,
+    state.view,
+    fleet,
+    clock,
+    hooks,
+    silent,
+  );
+  const pass = async (): Promise<void> => {
+    now += operator.passSpacingMs;
+    autoscaler.tell({ kind: "tick" });
+    await settle();
+    fleet.follow(state.view, null);
+  };
+  await pass();
+  return { autoscaler, fleet, pass };
+}
+
+const LEADER: Write = { put: keys.leader, value: { node: "node-a", incarnation: "a.1" } };
+
+/** Types are recorded, machines ordered for two shards, and one registered that no order brought. */
+async function autoscalingRecords(state: RecordingState): Promise<void> {
+  await state.prepare(LEADER);
+  const { autoscaler, pass } = await autoscaling(state, () => undefined);
+  for (const shard of [0, 1])
+    autoscaler.tell({ kind: "summary", summary: summary(shard), reply: () => undefined });
+  await pass();
+  autoscaler.tell(unknownMachine(1));
+  await settle();
+  await pass();
+  autoscaler.tell(unknownMachine(2));
+  await settle();
+  await pass();
+}
+
+/** What is sent to the cloud for an order that another leader has recorded. */
+export async function rentalForRecordedOrder(key: string, value: unknown): Promise<unknown[]> {
+  const sent: unknown[] = [];
+  await recorded(async (state) => {
+    await state.prepare(LEADER, { put: key, value });
+    const { pass } = await autoscaling(state, (body) => sent.push(body));
+    await pass();
+  });
+  return sent;
+}
+
+/** Machines of one group come up, one is selected for removal, one goes to another shard and one is returned. */
+async function machineRecords(state: RecordingState): Promise<void> {
+  const group = { shard: 0, type: "small", zone: "north", spot: true, since: NOW };
+  const machines = { "i-1": "booting", "i-2": "booting", "i-3": "booting" };
+  await state.prepare({ put: keys.machines("group-1"), value: { ...group, machines } });
+  const fleet = new Fleet(silent);
+  const steps = [
+    () => fleet.change(["i-1", "i-2"], "up", 8),
+    () => fleet.change(["i-1"], "leaving", 8),
+    () => fleet.pass(["i-2"], 1, () => "group-2", 8),
+    () => fleet.change(["i-1"], null, 8),
+    () => fleet.change(["i-3"], null, 8),
+  ];
+  for (const step of steps) {
+    fleet.follow(state.view, null);
+    const { guards, writes } = step();
+    await state.client.commit(guards, writes, "note");
+  }
+}
+
+/** An owner that does not reach the leader leaves what its shard is short of in the records. */
+async function demandRecords(state: RecordingState): Promise<void> {
+  await state.prepare({ put: keys.shard(1), value: { node: "node-a", incarnation: "a.1" } });
+  const exchange = new SummaryExchange({
+    assignment: new ShardAssignment(testSettings().teams, SHARDS),
+    state: state.client,
+    leader: () => "node-b",
+    askNode: () => Promise.reject(new Error("no answer")),
+    clock: () => 0,
+    log: silent,
+    spacingMs: 1000,
+    valueBytes: 8192,
+    queueTimeoutMs: 1000,
+  });
+  exchange.send(summary(1));
+  await settle();
+}
+
+const SCENARIOS: Record<string, (state: RecordingState) => Promise<void>> = {
+  membership: membershipRecords,
+  jobs: jobRecords,
+  transfer: transferRecords,
+  completion: completionRecords,
+  autoscaling: autoscalingRecords,
+  machines: machineRecords,
+  demand: demandRecords,
+};
+
+export const SCENARIO_NAMES = Object.keys(SCENARIOS);
+
+/** The transactions that a scenario commits. */
+export const transactionsOf = (scenario: string): Promise<StoredTransaction[]> =>
+  recorded(SCENARIOS[scenario]!);
