--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -8,15 +8,15 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { describe, test } from "node:test";
-import { createApp, type AppParts } from "../src/http/app.js";
-import { collectLinkReports, LINK_EXIT_CODES, linkExitCode, linkTable } from "../src/link-report.js";
+import { createApp, type HttpDependencies } from "../src/http/app.js";
+import { collectLinkReports, LINK_EXIT_CODES, linkExitCode, linkTable } from "../src/cli/link-report.js";
 import { LinkMonitor } from "../src/links/monitor.js";
 import { DIRECTIONS, LINK_STATES, type Evidence, type Scope } from "../src/links/model.js";
 import { ACTIVITIES, DECISIONS, LOSSES, NORMAL_RULES, RULES_WITHOUT } from "../src/links/policy.js";
 import { deriveLinkTimings, linkSettingsSchema, MONITOR_MODES } from "../src/links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../src/links/status.js";
 import type { PeerReply, PeerRequest } from "../src/peers/messages.js";
-import { DecisionMetrics, type DecisionReport } from "../src/placement/decision-metrics.js";
+import { DecisionMetrics, type DecisionReport } from "../src/shards/decision-metrics.js";
 import { assertSameJson, readFixture } from "./support/fixtures.js";
 import { silent } from "./support/records.js";
 import { settingsText } from "./support/settings.js";
@@ -138,11 +138,11 @@
 }
 
 /** Asks a controller's HTTP interface, as it is with these parts, for a page. */
-async function page(path: string, accept: string, parts: Partial<AppParts>): Promise<HttpFixture> {
+async function page(path: string, accept: string, parts: Partial<HttpDependencies>): Promise<HttpFixture> {
   const app = createApp({
-    users: { answer: () => Promise.resolve({ status: 404, body: {} }) },
-    report: () => Promise.resolve({ kind: "redirect", owner: null }),
-    healthy: () => true,
+    users: { handle: () => Promise.resolve({ status: 404, body: {} }) },
+    routeHeartbeat: () => Promise.resolve({ kind: "redirect", owner: null }),
+    isHealthy: () => true,
     linkStatus: () => statusWhileOff("node-0"),
     decisions,
     log: silent,
@@ -167,7 +167,7 @@
 const enforcing = { linkStatus: () => statusWithoutState("enforce") };
 const observing = { linkStatus: () => statusWithoutState("observe") };
 
-const PAGES: [name: string, path: string, accept: string, parts: Partial<AppParts>][] = [
+const PAGES: [name: string, path: string, accept: string, parts: Partial<HttpDependencies>][] = [
   ["links, monitor off", "/links", "application/json", {}],
   ["links, monitor off, as text", "/links", "text/plain", {}],
   ["links, monitor on", "/links", "*/*", enforcing],
@@ -175,7 +175,7 @@
   ["links, monitor that only observes, as text", "/links", "text/plain", observing],
   ["decisions", "/decisions", "application/json", {}],
   ["health", "/up", "*/*", {}],
-  ["health, unhealthy", "/up", "*/*", { healthy: () => false }],
+  ["health, unhealthy", "/up", "*/*", { isHealthy: () => false }],
 ];
 
 /** Reports of three controllers: one without the state service, one whose monitor is off, and one that is silent. */
@@ -183,7 +183,7 @@
   collectLinkReports(
     { node: "node-0", peers: ["node-1", "node-2"].map((node) => ({ node, address: "127.0.0.1:1" })) },
     {
-      ask: (node: string, request: PeerRequest): Promise<PeerReply> => {
+      request: (node: string, request: PeerRequest): Promise<PeerReply> => {
         assert.deepEqual(request, { linkStatus: {} });
         if (node === "node-2") return Promise.reject(new Error("no answer"));
         const status = node === "node-0" ? statusWithoutState("enforce") : statusWhileOff(node);
--- a/test/stored-record-shapes.test.ts
+++ b/test/stored-record-shapes.test.ts
@@ -1,7 +1,7 @@
 /** The inventory of what a simulated deployment writes to the state service: kinds of keys, fields and their types. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { parseReport } from "../src/wire/index.js";
+import { parseHeartbeat } from "../src/wire/index.js";
 import { readFixture } from "./support/fixtures.js";
 import { jobTransfers } from "./support/job-transfers.js";
 import { ShapeInventory } from "./support/record-shapes.js";
@@ -15,9 +15,9 @@
 function showHigherToken(world: Simulation): void {
   const [host] = world.cloud.machines.keys();
   const machine = { host, addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
-  const report = parseReport({ ...machine, tenure: 1, tick: 1, baton: 1_000_000, pieces: [] });
+  const report = parseHeartbeat({ ...machine, tenure: 1, tick: 1, baton: 1_000_000, pieces: [] });
   assert.ok(report.ok);
-  for (const { life } of world.nodes) void life!.controller.door.report(report.value);
+  for (const { life } of world.nodes) void life!.controller.httpDependencies.routeHeartbeat(report.value);
 }
 
 /** A machine that no order of the program brought. */
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -2,10 +2,15 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { fromDemandRecord } from "../src/autoscaling/demand-record.js";
-import { Bits, CHUNK_TASKS } from "../src/jobs/bits.js";
-import { durablyDone } from "../src/jobs/progress.js";
-import { readDone, readEnded, readJob, readQuotaReservation } from "../src/jobs/records.js";
-import { readCluster } from "../src/membership/records.js";
+import { Bitmap, CHUNK_TASKS } from "../src/jobs/bitmap.js";
+import { countDurablyDone } from "../src/jobs/progress-pages.js";
+import {
+  readCompletedTasksChunk,
+  readEnded,
+  readJob,
+  readQuotaReservation,
+} from "../src/jobs/job-records.js";
+import { readCluster } from "../src/membership/cluster-records.js";
 import type { MachineType } from "../src/wire/index.js";
 import { Fleet } from "../src/workers/fleet.js";
 import { assertSameJson, readFixture } from "./support/fixtures.js";
@@ -93,10 +98,10 @@
 
   test("completed tasks are read from a page of many jobs and from a record of one large job", () => {
     const [page] = valuesOf("completion", "fernpond/live/done/1/0");
-    assert.equal(durablyDone(viewOf([["fernpond/live/done/1/0", page]]), 1, "req-1", 3), 2);
+    assert.equal(countDurablyDone(viewOf([["fernpond/live/done/1/0", page]]), 1, "req-1", 3), 2);
     const [chunk] = valuesOf("completion", "fernpond/live/done/req-2/1");
-    const bits = new Bits(CHUNK_TASKS + 16);
-    bits.mergeChunk(1, readDone(chunk)!);
+    const bits = new Bitmap(CHUNK_TASKS + 16);
+    bits.mergeChunk(1, readCompletedTasksChunk(chunk)!);
     assert.equal(bits.count, 2);
     assert.ok(bits.has(CHUNK_TASKS) && bits.has(CHUNK_TASKS + 15));
   });
@@ -109,12 +114,12 @@
     const group = "fernpond/live/machines/group-1";
     const read = (value: unknown, host: string) => {
       const fleet = new Fleet(silent);
-      fleet.follow(viewOf([[group, value]]), null);
+      fleet.applyChanges(viewOf([[group, value]]), null);
       return fleet.get(host);
     };
-    assert.deepEqual(read(up, "i-1"), { group, ...known, drain: false, up: true });
-    assert.deepEqual(read(up, "i-3"), { group, ...known, drain: false, up: false });
-    assert.deepEqual(read(leaving, "i-1"), { group, ...known, drain: true, up: true });
+    assert.deepEqual(read(up, "i-1"), { groupKey: group, ...known, draining: false, hasReported: true });
+    assert.deepEqual(read(up, "i-3"), { groupKey: group, ...known, draining: false, hasReported: false });
+    assert.deepEqual(read(leaving, "i-1"), { groupKey: group, ...known, draining: true, hasReported: true });
   });
 });
 
--- a/test/support/peer-frames.ts
+++ b/test/support/peer-frames.ts
@@ -5,14 +5,14 @@
 import type { LinkView } from "../../src/links/views.js";
 import type {
   Demand,
-  FreeRoom,
+  FreeCapacity,
   Frame,
   MachineCondition,
   MachineSummary,
   PeerReply,
   PeerRequest,
   ShardLoadReport,
-  WaitingJob,
+  MigrationCandidate,
 } from "../../src/peers/messages.js";
 
 /** A frame in the fixture. */
@@ -103,7 +103,7 @@
   emptyReports,
 });
 
-const room = ({ type, zone, spot, cpus, gpus, memoryGb }: SummaryMeaning["rooms"][number]): FreeRoom => ({
+const room = ({ type, zone, spot, cpus, gpus, memoryGb }: SummaryMeaning["rooms"][number]): FreeCapacity => ({
   type,
   zone,
   spot,
@@ -112,7 +112,7 @@
   memoryGb,
 });
 
-const waitingJob = ({ job, task, waitedMs }: SummaryMeaning["waiting"][number]): WaitingJob => ({
+const waitingJob = ({ job, task, waitedMs }: SummaryMeaning["waiting"][number]): MigrationCandidate => ({
   job,
   task: demand(task),
   waitedMs,
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -1,23 +1,23 @@
 /** Carries out, through the program's own code, every kind of write to the state service, and keeps the transactions. */
 import { mock } from "node:test";
 import { Autoscaler } from "../../src/autoscaling/autoscaler.js";
-import { CloudClient } from "../../src/cloud/client.js";
+import { CloudClient } from "../../src/cloud/cloud-client.js";
 import { checkOperatorSettings } from "../../src/config/operator.js";
-import { Freshness } from "../../src/state/freshness.js";
-import { JobService } from "../../src/jobs/service.js";
-import { CHUNK_TASKS } from "../../src/jobs/bits.js";
+import { ReadBarrier } from "../../src/state/read-barrier.js";
+import { JobService } from "../../src/jobs/job-service.js";
+import { CHUNK_TASKS } from "../../src/jobs/bitmap.js";
 import { ShardAssignment } from "../../src/jobs/shard-assignment.js";
-import { entryOf } from "../../src/membership/decide.js";
+import { joinTransaction } from "../../src/membership/membership-planner.js";
 import { Membership } from "../../src/membership/membership.js";
-import type { Summary } from "../../src/peers/messages.js";
-import { CompletionLog, type Completion } from "../../src/placement/completion-log.js";
-import { JobTransfers } from "../../src/placement/job-transfers.js";
-import { Shard } from "../../src/placement/shard.js";
-import type { JsonCalls } from "../../src/runtime/http-client.js";
-import { StateClient } from "../../src/state/client.js";
+import type { ShardSummary } from "../../src/peers/messages.js";
+import { CompletionLog, type Completion } from "../../src/shards/completion-log.js";
+import { JobMigrator } from "../../src/shards/job-migrator.js";
+import { Shard } from "../../src/shards/shard.js";
+import type { JsonClient } from "../../src/runtime/json-client.js";
+import { StateStoreClient } from "../../src/state/state-store-client.js";
 import { keys } from "../../src/state/keys.js";
-import { SummaryExchange } from "../../src/summary-exchange.js";
-import { parseReport, parseSubmission, type JobSpec, type Write } from "../../src/wire/index.js";
+import { SummaryExchange } from "../../src/controller/summary-exchange.js";
+import { parseHeartbeat, parseSubmission, type JobSpec, type Write } from "../../src/wire/index.js";
 import { Fleet } from "../../src/workers/fleet.js";
 import { Job } from "../../src/workers/model.js";
 import { submission } from "./cluster.js";
@@ -43,11 +43,11 @@
 class RecordingState {
   readonly transactions: StoredTransaction[] = [];
   readonly view = new FakeView();
-  readonly client: StateClient;
+  readonly client: StateStoreClient;
   readonly store = new StateStore();
 
   constructor() {
-    const http: JsonCalls = {
+    const http: JsonClient = {
       call: async (method, path, body) => {
         const sent: unknown = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
         const answer = await this.store.handle(0, method, new URL(path, "http://state"), sent);
@@ -55,7 +55,14 @@
         return { status: answer.status, body: answer.body };
       },
     };
-    this.client = new StateClient(http, http, { rps: 1000, writeRps: 1000, txnOps: 8 }, 1, () => 0, 1000);
+    this.client = new StateStoreClient(
+      http,
+      http,
+      { rps: 1000, writeRps: 1000, txnOps: 8 },
+      1,
+      () => 0,
+      1000,
+    );
     this.store.onChange = (change) => {
       if ("put" in change) this.view.put(change.put, change.value, change.stamp);
       else this.view.remove(change.remove, change.stamp);
@@ -64,7 +71,7 @@
 
   /** Puts records that are not what is looked at. */
   async prepare(...writes: Write[]): Promise<void> {
-    await this.client.commit([], writes, "note");
+    await this.client.compareAndSwap([], writes, "note");
     this.transactions.length = 0;
   }
 }
@@ -87,26 +94,30 @@
 
 /** A controller enters, leads, assigns shards, advances a token, hands the shard over and resigns. */
 async function membershipRecords(state: RecordingState): Promise<void> {
-  const { guards, writes } = entryOf(
+  const { conditions: guards, writes } = joinTransaction(
     { node: "node-b", incarnation: "b.1" },
-    await state.client.grant(60_000),
+    await state.client.grantLease(60_000),
     0,
   );
-  await state.client.commit(guards, writes, "ownership");
+  await state.client.compareAndSwap(guards, writes, "ownership");
   const figures = { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 };
-  const hooks = { ownership: () => undefined, askHandOver: () => undefined, unsuited: () => false };
+  const hooks = {
+    onOwnershipChanged: () => undefined,
+    requestHandOver: () => undefined,
+    isCutOffFromWorkers: () => false,
+  };
   const me = { node: "node-a", incarnation: "a.1" };
   const { client, view } = state;
   const membership = new Membership(me, SHARDS, SHARDS, figures, client, view, () => 0, hooks, silent);
   const messages = [
     { kind: "tick" },
-    { kind: "records" },
-    { kind: "records" },
-    { kind: "records" },
+    { kind: "records_changed" },
+    { kind: "records_changed" },
+    { kind: "records_changed" },
     { kind: "advance_token", shard: 0 },
-    { kind: "records" },
+    { kind: "records_changed" },
     { kind: "hand_over", shard: 0, to: "node-b" },
-    { kind: "records" },
+    { kind: "records_changed" },
     { kind: "resign" },
   ] as const;
   for (const message of messages) {
@@ -144,7 +155,7 @@
 
 function jobService({ client, view }: RecordingState): JobService {
   const settings = testSettings({ controllers: SHARDS });
-  const freshness = new Freshness(client, { reach: () => Promise.resolve() }, 1000);
+  const freshness = new ReadBarrier(client, { waitForRevision: () => Promise.resolve() }, 1000);
   const assignment = new ShardAssignment(settings.teams, SHARDS);
   const countsOf = () => Promise.resolve(null);
   const tell = () => undefined;
@@ -180,7 +191,7 @@
   const token = state.view.get(keys.shard(1))!.version;
   const shard = new Shard(1, token, 0, testSettings(), () => types, state.view, silent);
   const term = { token: () => token, over: () => false };
-  await new JobTransfers(shard, term, 1000, state.client, state.view, () => 0, silent).transfer("req-1", 0);
+  await new JobMigrator(shard, term, 1000, state.client, state.view, () => 0, silent).migrate("req-1", 0);
 }
 
 /** Tasks of a small and of a large job complete, and then all of the small one. */
@@ -196,8 +207,8 @@
   };
   const write = async (completions: Completion[]): Promise<void> => {
     for (const completion of completions) {
-      await state.client.commit(completion.guards, completion.writes, "result");
-      completion.durable();
+      await state.client.compareAndSwap(completion.conditions, completion.writes, "result");
+      completion.onDurable();
     }
   };
   complete(small, 0, 2);
@@ -207,7 +218,7 @@
   await write(log.finished(8, () => true));
 }
 
-const summary = (shard: number): Summary => ({
+const summary = (shard: number): ShardSummary => ({
   shard,
   token: 1,
   recovered: true,
@@ -248,7 +259,7 @@
 
 const unknownMachine = (tick: number) => {
   const said = { host: "i-9", addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
-  const report = parseReport({ ...said, tenure: 1, tick, baton: 0, pieces: [] });
+  const report = parseHeartbeat({ ...said, tenure: 1, tick, baton: 0, pieces: [] });
   if (!report.ok) throw new Error(report.error);
   return { kind: "unknown_machine", report: report.value } as const;
 };
@@ -256,7 +267,7 @@
 /** An autoscaler that leads, and steps of a second in which it makes a pass. */
 async function autoscaling(state: RecordingState, rent: (body: unknown) => void) {
   let now = 0;
-  const cloud: JsonCalls = {
+  const cloud: JsonClient = {
     call: (method, path, body) => {
       if (path === "/flavors") return Promise.resolve({ status: 200, body: CATALOGUE });
       if (method === "POST") rent(body);
@@ -269,7 +280,7 @@
   const clock = (): number => now;
   const hooks = {
     leadership: () => state.view.get(keys.leader)?.version ?? null,
-    askOwner: () => Promise.resolve({ accepted: { hosts: [] } }),
+    requestOwner: () => Promise.resolve({ accepted: { hosts: [] } }),
     mayCallCloud: () => true,
   };
   const client = new CloudClient(cloud, 100, clock, 1000);
@@ -289,7 +300,7 @@
     now += operator.passSpacingMs;
     autoscaler.tell({ kind: "tick" });
     await settle();
-    fleet.follow(state.view, null);
+    fleet.applyChanges(state.view, null);
   };
   await pass();
   return { autoscaler, fleet, pass };
@@ -327,19 +338,19 @@
 async function machineRecords(state: RecordingState): Promise<void> {
   const group = { shard: 0, type: "small", zone: "north", spot: true, since: NOW };
   const machines = { "i-1": "booting", "i-2": "booting", "i-3": "booting" };
-  await state.prepare({ put: keys.machines("group-1"), value: { ...group, machines } });
+  await state.prepare({ put: keys.machineGroup("group-1"), value: { ...group, machines } });
   const fleet = new Fleet(silent);
   const steps = [
-    () => fleet.change(["i-1", "i-2"], "up", 8),
-    () => fleet.change(["i-1"], "leaving", 8),
-    () => fleet.pass(["i-2"], 1, () => "group-2", 8),
-    () => fleet.change(["i-1"], null, 8),
-    () => fleet.change(["i-3"], null, 8),
+    () => fleet.changeStage(["i-1", "i-2"], "up", 8),
+    () => fleet.changeStage(["i-1"], "leaving", 8),
+    () => fleet.transferToShard(["i-2"], 1, () => "group-2", 8),
+    () => fleet.changeStage(["i-1"], null, 8),
+    () => fleet.changeStage(["i-3"], null, 8),
   ];
   for (const step of steps) {
-    fleet.follow(state.view, null);
-    const { guards, writes } = step();
-    await state.client.commit(guards, writes, "note");
+    fleet.applyChanges(state.view, null);
+    const { conditions: guards, writes } = step();
+    await state.client.compareAndSwap(guards, writes, "note");
   }
 }
 
--- a/test/wire-formats.test.ts
+++ b/test/wire-formats.test.ts
@@ -1,22 +1,22 @@
 /** The JSON bodies and paths on the wire to workers, users, the cloud and the state service. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { JobRequestHandler } from "../src/http/users.js";
-import type { JobService, LookResult, SubmitResult } from "../src/jobs/service.js";
+import { JobRequestHandler } from "../src/http/user-requests.js";
+import type { JobService, JobLookup, SubmitResult } from "../src/jobs/job-service.js";
 import {
   acceptedToWire,
   cloudReturnToWire,
   commandsToWire,
   leaseToWire,
-  parseReport,
+  parseHeartbeat,
   paths,
   redirectToWire,
   rentalToWire,
   statusToWire,
   transactionToWire,
   type JobStage,
-  type TaskReport,
-  type WorkerReport,
+  type TaskStatus,
+  type Heartbeat,
 } from "../src/wire/index.js";
 import { submission } from "./support/cluster.js";
 import { assertSameJson, readFixture } from "./support/fixtures.js";
@@ -70,7 +70,7 @@
   "users: submit": paths.submit,
   "users: job": paths.job.source,
   "users: cancel": paths.cancel.source,
-  "workers: report": paths.report,
+  "workers: report": paths.heartbeat,
   "cloud: types": paths.cloud.types,
   "cloud: rent": paths.cloud.rent,
   "cloud: return": paths.cloud.returnMachines,
@@ -87,28 +87,22 @@
 };
 
 /** The report of the fixture as the program has it: a task for each exit cause, and one for each other state. */
-function expectedReport(): WorkerReport {
+function expectedReport(): Heartbeat {
   const ended = { job: "req-000412", attempt: 3, state: "exited", saved: false } as const;
   const causes = ["done", "stopped", "error", "no_room", "busy", "unknown", "error", "error"] as const;
   const live = ["fetching", "running", "saving"] as const;
-  const tasks: TaskReport[] = [
+  const tasks: TaskStatus[] = [
     ...causes.map((cause, index) => ({ ...ended, index, cause, saved: cause === "stopped" })),
     ...live.map((state, index) => ({ ...ended, index: causes.length + index, state, cause: null })),
   ];
   const machine = { host: "i-000001", address: "10.0.0.9:9000", type: "large", zone: "north", spot: true };
-  return { ...machine, session: 2, seq: 40, token: 41, noticeS: 90, tasks };
+  return { ...machine, epoch: 2, sequence: 40, highestToken: 41, interruptionNoticeS: 90, tasks };
 }
 
 /** The answer to a user for given results of the job service. */
-const answerOf = (
-  submitted: SubmitResult,
-  found: LookResult,
-  path: string,
-  method: string,
-  body: unknown,
-) => {
-  const service = { submit: () => submitted, look: () => found, cancel: () => found };
-  return new JobRequestHandler(service as unknown as JobService).answer({ method, path, body });
+const answerOf = (submitted: SubmitResult, found: JobLookup, path: string, method: string, body: unknown) => {
+  const service = { submit: () => submitted, lookUp: () => found, cancel: () => found };
+  return new JobRequestHandler(service as unknown as JobService).handle({ method, path, body });
 };
 
 async function userAnswers(): Promise<Record<string, unknown>> {
@@ -120,13 +114,13 @@
     impossible: { kind: "impossible", reason: "unknown team" },
     unavailable: { kind: "unavailable" },
   };
-  const found: Record<string, LookResult> = {
+  const found: Record<string, JobLookup> = {
     found: { kind: "found", status },
     unknown: { kind: "unknown" },
     unavailable: { kind: "unavailable" },
   };
   const answers: Record<string, unknown> = {};
-  const none: LookResult = { kind: "unknown" };
+  const none: JobLookup = { kind: "unknown" };
   const refused: SubmitResult = { kind: "unavailable" };
   for (const [name, result] of Object.entries(submitted))
     answers[`submit: ${name}`] = await answerOf(result, none, "/work", "POST", submission("req-1"));
@@ -155,7 +149,7 @@
   });
 
   test("a worker's report is parsed, with every task state and exit cause", () => {
-    assert.deepEqual(parseReport(fixture.report), { ok: true, value: expectedReport() });
+    assert.deepEqual(parseHeartbeat(fixture.report), { ok: true, value: expectedReport() });
   });
 });
 
