--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,3 +1,4 @@
+import { createNodeResolver, importX } from "eslint-plugin-import-x";
 import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
 
@@ -30,6 +31,69 @@
   }),
 );
 
+const CONSTANT = ["camelCase", "UPPER_CASE"];
+
+const NAMES = [
+  { selector: "default", format: ["camelCase"], leadingUnderscore: "allow" },
+  { selector: "typeLike", format: ["PascalCase"] },
+  { selector: "variable", modifiers: ["const", "global"], format: CONSTANT },
+  { selector: "classProperty", modifiers: ["static", "readonly"], format: CONSTANT },
+  // Others name what they export.
+  { selector: "import", format: null },
+  // Keys of settings, stored records and messages are those of the format; other objects have a type to check.
+  { selector: ["objectLiteralProperty", "objectLiteralMethod"], format: null },
+  { selector: ["typeProperty", "typeMethod"], modifiers: ["requiresQuotes"], format: null },
+  // The class of cli-table3, which is loaded only where it is needed.
+  { selector: "variable", filter: "^Table$", format: ["PascalCase"] },
+];
+
+/** The level of rules that still have findings: becomes "error" as soon as `npm run lint` warns of nothing. */
+const PENDING = "warn";
+
+/** Names that are usual at any length of scope: the counter of a loop, and `z` of zod. */
+const USUAL_SHORT_NAMES = new Set(["i", "z", "_"]);
+
+/** The most lines, declaration to last use, for which one letter is enough of a name. */
+const SHORT_NAME_LINES = 3;
+
+/** `id-length` knows no scopes: this rule lets a one-letter name stand where all its uses are in view. */
+const shortNamesInShortScopes = {
+  create: (context) => ({
+    "Program:exit": (program) => {
+      const checkScope = (scope) => {
+        for (const { name, identifiers, references } of scope.variables) {
+          if (name.length > 1 || USUAL_SHORT_NAMES.has(name) || /[A-Z]/.test(name)) continue;
+          const firstLine = identifiers[0]?.loc.start.line;
+          const lastLine = Math.max(...references.map((reference) => reference.identifier.loc.end.line));
+          if (lastLine - firstLine >= SHORT_NAME_LINES)
+            context.report({ node: identifiers[0], message: `'${name}' is used over many lines: name it.` });
+        }
+        scope.childScopes.forEach(checkScope);
+      };
+      checkScope(context.sourceCode.getScope(program));
+    },
+  }),
+};
+
+/** `jsdoc/require-file-overview` asks for a tag: this rule asks for a plain doc comment above the imports. */
+const moduleComment = {
+  create: (context) => ({
+    Program: (program) => {
+      const [first] = program.body;
+      const isDoc = (comment) => comment.type === "Block" && comment.value.startsWith("*");
+      const head = context.sourceCode.getAllComments().find(isDoc);
+      const isAbove = head !== undefined && (!first || head.range[1] <= first.range[0]);
+      // Above anything else than an import, a comment without a blank line after it documents that.
+      const isOfModule =
+        first?.type === "ImportDeclaration" || first?.loc.start.line > head?.loc.end.line + 1;
+      if (!isAbove || !isOfModule)
+        context.report({ loc: { line: 1, column: 0 }, message: "Say in a comment what the module is for." });
+    },
+  }),
+};
+
+const LOCAL_RULES = { "short-names": shortNamesInShortScopes, "module-comment": moduleComment };
+
 export default tseslint.config(
   ...importDirections,
   ...tseslint.configs.strictTypeChecked,
@@ -41,8 +105,27 @@
         tsconfigRootDir: import.meta.dirname,
       },
     },
+    plugins: { "import-x": importX, local: { rules: LOCAL_RULES } },
+    settings: {
+      // NodeNext imports name the emitted .js file.
+      "import-x/resolver-next": [createNodeResolver({ extensionAlias: { ".js": [".ts", ".js"] } })],
+      "import-x/extensions": [".ts"],
+      "import-x/parsers": { "@typescript-eslint/parser": [".ts"] },
+    },
     linterOptions: { reportUnusedDisableDirectives: "error" },
     rules: {
+      // Imports of types are left out of it: they are gone when the code runs.
+      "import-x/no-cycle": ["error", { ignoreExternal: true }],
+      "@typescript-eslint/no-import-type-side-effects": "error",
+      "@typescript-eslint/consistent-type-exports": "error",
+      "@typescript-eslint/consistent-type-imports": PENDING,
+      // A default covers the rest of a union; a switch over any other type must have one.
+      "@typescript-eslint/switch-exhaustiveness-check": [
+        PENDING,
+        { considerDefaultExhaustiveForUnions: true, requireDefaultForNonUnion: true },
+      ],
+      "@typescript-eslint/naming-convention": ["error", ...NAMES],
+      "local/short-names": PENDING,
       "@typescript-eslint/no-unused-vars": ["error", { argsIgnorePattern: "^_" }],
       eqeqeq: "error",
       "@typescript-eslint/restrict-template-expressions": ["error", { allowNumber: true }],
@@ -62,6 +145,7 @@
     files: ["src/**/*.ts"],
     plugins: { jsdoc },
     rules: {
+      "local/module-comment": PENDING,
       "jsdoc/require-jsdoc": [
         "error",
         {
@@ -76,5 +160,16 @@
       ],
     },
   },
+  {
+    files: ["test/**/*.ts"],
+    rules: {
+      "@typescript-eslint/naming-convention": [
+        "error",
+        ...NAMES,
+        // A constant of one test stands in that test.
+        { selector: "variable", modifiers: ["const"], format: CONSTANT },
+      ],
+    },
+  },
   { files: ["eslint.config.js"], extends: [tseslint.configs.disableTypeChecked] },
 );
