--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -125,7 +125,7 @@
         },
         requestHandOver: (owner, shard, to) =>
           void this.requestController(owner, { handOver: { shard, to } }).catch(() => undefined),
-        isCutOffFromWorkers: (node) => this.links.policy.cannotHearWorkers(node),
+        isCutOffFromWorkers: (node) => this.links.policy.isCutOffFromWorkers(node),
       },
       this.log,
     );
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -4,10 +4,10 @@
 import type { Settings } from "../config/settings.js";
 import type { ControllerDependencies } from "./dependencies.js";
 import type { UserRequestHandler } from "../http/user-requests.js";
-import { UNRESTRICTED, type LinkPolicy } from "../links/access.js";
+import { UNRESTRICTED, type LinkPolicy } from "../links/link-policy.js";
 import type { LinkName, ObservationSink } from "../links/model.js";
-import { LinkMonitor, type LinkMonitorHooks } from "../links/monitor.js";
-import { isCloudTrouble, isUnavailable, ObservedCalls } from "../links/observed-calls.js";
+import { LinkMonitor, type LinkMonitorCallbacks } from "../links/monitor.js";
+import { isCloudUnavailable, isUnavailable, ObservedJsonClient } from "../links/observed-json-client.js";
 import { deriveLinkTimings } from "../links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../links/status.js";
 import type { Membership } from "../membership/membership.js";
@@ -83,13 +83,13 @@
     if (this.monitor === null) return around;
     const { clock } = around;
     const { sink } = this;
-    const state = { link: "state" as const, refused: isUnavailable, sink, clock };
-    const cloud = { link: "cloud" as const, refused: isCloudTrouble, sink, clock };
+    const state = { link: "state" as const, isRefusal: isUnavailable, sink, clock };
+    const cloud = { link: "cloud" as const, isRefusal: isCloudUnavailable, sink, clock };
     return {
       clock,
-      state: new ObservedCalls(around.state, { ...state, timed: true }),
-      watches: new ObservedCalls(around.watches, { ...state, timed: false }),
-      cloud: new ObservedCalls(around.cloud, { ...cloud, timed: false }),
+      state: new ObservedJsonClient(around.state, { ...state, timed: true }),
+      watches: new ObservedJsonClient(around.watches, { ...state, timed: false }),
+      cloud: new ObservedJsonClient(around.cloud, { ...cloud, timed: false }),
       peers: new ObservedPeerNetwork(around.peers, sink),
     };
   }
@@ -135,10 +135,10 @@
     this.monitor?.tell({ kind: "observed", observation });
   };
 
-  private hooks(): LinkMonitorHooks {
+  private hooks(): LinkMonitorCallbacks {
     return {
       ownedShards: () => this.parts?.shards.statuses() ?? [],
-      leads: () => this.parts !== null && this.parts.membership.leadership() !== null,
+      isLeader: () => this.parts !== null && this.parts.membership.leadership() !== null,
       isMember: (node) => this.parts?.membership.cluster.members.has(node) ?? false,
       probe: (link) => {
         this.probe(link);
--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -1,7 +1,7 @@
 /** The shards in this process's hands: an owner actor for each, from when the records name this process until they do not. */
 import type { Settings } from "../config/settings.js";
-import type { LinkPolicy } from "../links/access.js";
-import type { OwnedShardStatus } from "../links/remedies.js";
+import type { LinkPolicy } from "../links/link-policy.js";
+import type { OwnedShardStatus } from "../links/remediation.js";
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { Membership } from "../membership/membership.js";
 import type { ShardSummary } from "../peers/messages.js";
--- a/src/links/backoff.ts
+++ b/src/links/backoff.ts
@@ -24,7 +24,7 @@
   }
 
   /** Notes an attempt, after which the next waits longer. */
-  note(key: Key, now: number): void {
+  recordAttempt(key: Key, now: number): void {
     const last = this.attempts.get(key);
     const { firstMs, boundMs } = this.timings;
     const lapsed = last === undefined || now - last.at >= 2 * last.waitMs + firstMs;
--- a/src/links/policy-table.ts
+++ b/src/links/degradation-policy-table.ts
@@ -1,5 +1,12 @@
 /** The degradation policy as a table for the operators' page. */
-import { ACTIVITIES, LOSSES, NORMAL_RULES, RULES_WITHOUT, type Loss, type Rule } from "./policy.js";
+import {
+  ACTIVITIES,
+  LOSSES,
+  NORMAL_RULES,
+  RULES_WITHOUT,
+  type Loss,
+  type Rule,
+} from "./degradation-policy.js";
 
 const NAMES: Record<Loss, string> = {
   state: "state service, for this controller",
--- a/src/links/diagnosis.ts
+++ b/src/links/diagnosis.ts
@@ -1,6 +1,6 @@
 /** From this controller's own evidence and its peers' votes to the reported state. Pure. */
 import type { Direction, Evidence, LinkName, LinkState, Scope } from "./model.js";
-import type { Votes } from "./view-book.js";
+import type { Votes } from "./peer-views.js";
 
 /** What one controller sees by itself, and what its peers say. */
 export interface Finding {
--- a/src/links/direction-track.ts
+++ b/src/links/direction-track.ts
@@ -6,7 +6,7 @@
 import type { LinkTimings } from "./settings.js";
 
 /** A single lost call proves little: a packet may be lost, and an answer late. */
-const LEAST_FAILURES = 2;
+const MIN_FAILURES = 2;
 
 /** How much one answer moves the share of slow ones. */
 const SLOW_WEIGHT = 0.2;
@@ -28,7 +28,7 @@
 }
 
 /** What a review of the evidence comes to. */
-interface Verdict {
+interface Assessment {
   state: LinkState;
   evidence: Evidence;
 }
@@ -98,7 +98,7 @@
 
   /** Derives the state from the evidence so far; true where it has changed. */
   review(now: number): boolean {
-    const { state, evidence } = this.judge(now);
+    const { state, evidence } = this.assess(now);
     if (state === "down" && this.state !== "down") this.enterDown(now);
     if (state === "down") this.downUntil = now;
     const changed = state !== this.state;
@@ -129,23 +129,23 @@
     else if (this.recoveryMs < this.timings.recoverBoundMs) this.flaps++;
   }
 
-  private judge(now: number): Verdict {
+  private assess(now: number): Assessment {
     const sinceEvidence = now - this.lastEvidenceAt;
-    if (this.wasDown) return this.judgeRecovery(now, sinceEvidence);
+    if (this.wasDown) return this.assessRecovery(now, sinceEvidence);
     if (sinceEvidence >= this.timings.quietMs) return { state: "unknown", evidence: "no_traffic" };
-    if (this.failures !== null) return this.judgeFailures(now, this.failures);
+    if (this.failures !== null) return this.assessFailures(now, this.failures);
     return this.slow ? { state: "degraded", evidence: "slow" } : { state: "up", evidence: "delivered" };
   }
 
-  private judgeFailures(now: number, run: FailureRun): Verdict {
-    const lasting = now - run.since >= this.timings.downAfterMs && run.count >= LEAST_FAILURES;
+  private assessFailures(now: number, run: FailureRun): Assessment {
+    const lasting = now - run.since >= this.timings.downAfterMs && run.count >= MIN_FAILURES;
     return { state: lasting ? "down" : "degraded", evidence: run.cause };
   }
 
   /** Down stays down until traffic passes, and counts as up only once it has passed for a while. */
-  private judgeRecovery(now: number, sinceEvidence: number): Verdict {
+  private assessRecovery(now: number, sinceEvidence: number): Assessment {
     if (this.failures !== null && sinceEvidence < this.timings.forgetMs) {
-      const { state, evidence } = this.judgeFailures(now, this.failures);
+      const { state, evidence } = this.assessFailures(now, this.failures);
       return { state: this.state === "down" ? "down" : state, evidence };
     }
     if (sinceEvidence >= this.timings.quietMs) {
--- a/src/links/heartbeat-rate.ts
+++ b/src/links/heartbeat-rate.ts
@@ -3,36 +3,36 @@
 /** A worker that gets no answer waits for its time-out and tries others first: it comes back at a fraction of the rate. */
 const SPARSE_BELOW = 0.5;
 /** Reports are counted over so many of their intervals. */
-const WINDOW_REPORTS = 3;
+const WINDOW_HEARTBEATS = 3;
 
 /** Counts the reports of all workers that are expected here, over windows of time. */
-export class ReportRate {
+export class HeartbeatRate {
   private count = 0;
   private windowStart = -Infinity;
   /** Whether the last whole window had far fewer reports than its workers send. */
-  sparse = false;
+  isSparse = false;
 
   constructor(private readonly reportMs: number) {}
 
   /** A report came. */
-  note(): void {
+  record(): void {
     this.count++;
   }
 
   /** Counts anew from now on. */
   restart(now: number): void {
     this.count = 0;
-    this.sparse = false;
+    this.isSparse = false;
     this.windowStart = now;
   }
 
   /** To be called at every tick, with the number of workers that should report. */
   review(now: number, workers: number): void {
     const windowMs = now - this.windowStart;
-    if (windowMs < WINDOW_REPORTS * this.reportMs) return;
+    if (windowMs < WINDOW_HEARTBEATS * this.reportMs) return;
     const expected = (workers * windowMs) / this.reportMs;
     // Before the first window nothing has been counted.
-    this.sparse = Number.isFinite(expected) && this.count < SPARSE_BELOW * expected;
+    this.isSparse = Number.isFinite(expected) && this.count < SPARSE_BELOW * expected;
     this.count = 0;
     this.windowStart = now;
   }
--- a/src/links/access.ts
+++ b/src/links/link-policy.ts
@@ -1,5 +1,5 @@
 /** What the rest of the process asks the link monitor, whether it runs or not. */
-import type { Activity } from "./policy.js";
+import type { Activity } from "./degradation-policy.js";
 
 /** The degradation policy as it applies right now. */
 export interface LinkPolicy {
@@ -10,7 +10,7 @@
   /** Whether a shard may be handed over for the sake of its workers; asking counts as an attempt. */
   tryHandOver(shard: number): boolean;
   /** Whether a peer is known not to be reached by workers, so that it should not get shards. */
-  cannotHearWorkers(node: string): boolean;
+  isCutOffFromWorkers(node: string): boolean;
 }
 
 /** The policy while no monitor runs, or while it only observes. */
@@ -18,5 +18,5 @@
   allows: () => true,
   refuses: () => false,
   tryHandOver: () => true,
-  cannotHearWorkers: () => false,
+  isCutOffFromWorkers: () => false,
 };
--- a/src/links/misrouted-workers.ts
+++ b/src/links/misrouted-workers.ts
@@ -28,7 +28,7 @@
   ) {}
 
   /** A worker of the shard came here, in a term of the shard's owner. */
-  note(shard: number, term: number, host: string, now: number): void {
+  record(shard: number, term: number, host: string, now: number): void {
     const seen = this.lastSeen.get(shard);
     const hosts = seen?.term === term ? seen.hosts : new Map<string, number>();
     if (hosts.size >= this.bound && !hosts.has(host)) return;
--- a/src/links/observed-calls.ts
+++ b/src/links/observed-json-client.ts
@@ -15,28 +15,28 @@
 export const isUnavailable: RefusalCheck = ({ status }) => status === UNAVAILABLE;
 
 /** A cloud without capacity answers with the same status as one in trouble; it works all the same. */
-export const isCloudTrouble: RefusalCheck = ({ status, body }) =>
+export const isCloudUnavailable: RefusalCheck = ({ status, body }) =>
   status === UNAVAILABLE && (body as { error?: unknown } | undefined)?.error !== "no capacity";
 
 /** What calls are watched as. */
-export interface ObservedCallsOptions {
+export interface ObservedJsonClientOptions {
   link: LinkName;
-  refused: RefusalCheck;
+  isRefusal: RefusalCheck;
   sink: ObservationSink;
   clock: SteadyClock;
   /** Whether the time that an answer takes says anything: watches stay open on purpose. */
   timed: boolean;
 }
 
-/** Calls whose outcomes are told to the monitor. */
-export class ObservedCalls implements JsonClient {
+/** Calls whose outcomes are reported to the monitor. */
+export class ObservedJsonClient implements JsonClient {
   constructor(
     private readonly calls: JsonClient,
-    private readonly options: ObservedCallsOptions,
+    private readonly options: ObservedJsonClientOptions,
   ) {}
 
   async call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
-    const { link, refused, sink, clock, timed } = this.options;
+    const { link, isRefusal: refused, sink, clock, timed } = this.options;
     const sentAt = clock();
     try {
       const answer = await this.calls.call(method, path, body, timeoutMs);
--- a/src/links/view-book.ts
+++ b/src/links/peer-views.ts
@@ -1,9 +1,9 @@
 /** The latest views of all peers, as long as they count, and what they say together. */
 import type { Direction, LinkName, LinkState } from "./model.js";
-import { decodeView, type DecodedView, type LinkView } from "./views.js";
+import { decodeView, type DecodedView, type LinkView } from "./link-view.js";
 
 /** A peer's view and when it came. */
-interface Received {
+interface ReceivedView {
   view: LinkView;
   at: number;
 }
@@ -18,8 +18,8 @@
 const REMEMBERED_INCARNATIONS = 8;
 
 /** Takes in views, drops what cannot be believed, and counts votes. */
-export class ViewBook {
-  private readonly latest = new Map<string, Received>();
+export class PeerViews {
+  private readonly latest = new Map<string, ReceivedView>();
   private readonly replaced = new Map<string, string[]>();
 
   constructor(
@@ -46,7 +46,7 @@
   }
 
   /** The views that still count. */
-  fresh(now: number): LinkView[] {
+  current(now: number): LinkView[] {
     const views: LinkView[] = [];
     for (const { view, at } of this.latest.values()) if (now - at <= this.ttlMs) views.push(view);
     return views;
--- a/src/links/probes.ts
+++ b/src/links/probe-budget.ts
@@ -29,7 +29,7 @@
   }
 
   /** Whether this link may be probed now; the right is used up by asking. */
-  tryTake(link: LinkName): boolean {
+  tryAcquire(link: LinkName): boolean {
     if (link === "cloud") return this.cloud.tryAcquire(1);
     if (!link.startsWith("peer:")) return false;
     const now = this.clock();
--- /dev/null
+++ b/src/links/remediation-runner.ts
@@ -0,0 +1,78 @@
+/** Carries out remediations, each again for the same cause only after a back-off. */
+import type { SteadyClock } from "../runtime/clock.js";
+import type { Logger } from "../runtime/log.js";
+import { Backoff } from "./backoff.js";
+import type { LinkTable } from "./link-table.js";
+import type { PeerViews } from "./peer-views.js";
+import { planRemediations, type OwnedShardStatus, type Remediation } from "./remediation.js";
+import type { LinkTimings } from "./settings.js";
+
+/** The key of the back-off for giving leadership up; the others are shards. */
+const RESIGNATION = "leadership";
+
+/** What the runner asks and tells the rest of the process. */
+export interface RemediationCallbacks {
+  isLeader(): boolean;
+  /** Whether a controller holds a membership lease, as far as the records say. */
+  isMember(node: string): boolean;
+  handOver(shard: number, targetNode: string): void;
+  resign(): void;
+}
+
+/** What the runner is made from. */
+export interface RemediationRunnerDependencies {
+  readonly clock: SteadyClock;
+  readonly table: LinkTable;
+  readonly views: PeerViews;
+  readonly timings: LinkTimings;
+  readonly callbacks: RemediationCallbacks;
+  readonly log: Logger;
+}
+
+/** Plans remediations at every tick and carries them out. */
+export class RemediationRunner {
+  private readonly backoff: Backoff<number | typeof RESIGNATION>;
+
+  constructor(private readonly dependencies: RemediationRunnerDependencies) {
+    const { moveBackoffMs, moveBackoffBoundMs } = dependencies.timings;
+    this.backoff = new Backoff({ firstMs: moveBackoffMs, boundMs: moveBackoffBoundMs });
+  }
+
+  /** Whether a shard may be handed over again for the sake of its workers; asking counts as an attempt. */
+  tryHandOver(shard: number): boolean {
+    const now = this.dependencies.clock();
+    if (!this.backoff.mayTry(shard, now)) return false;
+    this.backoff.recordAttempt(shard, now);
+    return true;
+  }
+
+  /** Plans and carries out what the losses ask for now. */
+  run(shards: OwnedShardStatus[]): void {
+    const { clock, table, views, callbacks } = this.dependencies;
+    const now = clock();
+    const remediations = planRemediations({
+      diagnosis: (link, direction) => table.diagnosis(link, direction),
+      shards,
+      isLeader: callbacks.isLeader(),
+      peers: views.current(now).filter((view) => callbacks.isMember(view.node)),
+      mayHandOver: (shard) => this.backoff.mayTry(shard, now),
+      mayResign: this.backoff.mayTry(RESIGNATION, now),
+    });
+    for (const remediation of remediations) this.carryOut(remediation, now);
+  }
+
+  private carryOut(remediation: Remediation, now: number): void {
+    const { callbacks, log } = this.dependencies;
+    log.info({ ...remediation }, "remediation started for a lost link");
+    switch (remediation.kind) {
+      case "hand_over":
+        this.backoff.recordAttempt(remediation.shard, now);
+        callbacks.handOver(remediation.shard, remediation.to);
+        return;
+      case "resign":
+        this.backoff.recordAttempt(RESIGNATION, now);
+        callbacks.resign();
+        return;
+    }
+  }
+}
--- a/src/links/settings.ts
+++ b/src/links/settings.ts
@@ -51,7 +51,7 @@
   /** A failure within this of a recovery counts as flapping. */
   flapWindowMs: number;
   quietMs: number;
-  /** A direction that was down and of which nothing was heard since is unknown after this. */
+  /** A direction that was down and without traffic since is unknown after this. */
   forgetMs: number;
   /** An answer that takes longer is slow. */
   slowMs: number;
@@ -68,12 +68,12 @@
 }
 
 /** An answer that takes more than this part of a call's time-out is slow. */
-const SLOW_PART = 0.5;
+const SLOW_FRACTION = 0.5;
 /** A worker reports within one and a quarter of its interval. */
-const SILENT_REPORTS = 1.5;
+const SILENCE_HEARTBEATS = 1.5;
 const STALLED_TICKS = 5;
 /** A view outlives the loss of one or two frames. */
-const VIEW_LIVES = 3;
+const VIEW_TTL_SPACINGS = 3;
 
 /** What the settings come to. */
 export function deriveLinkTimings(settings: LinkSettings, inputs: LinkTimingInputs): LinkTimings {
@@ -89,10 +89,10 @@
     flapWindowMs: 2 * leaseMs,
     quietMs: settings.quiet_after_reports * reportMs,
     forgetMs: 4 * leaseMs,
-    slowMs: SLOW_PART * callMs,
+    slowMs: SLOW_FRACTION * callMs,
     viewSpacingMs,
-    viewTtlMs: settings.quiet_after_reports * reportMs + VIEW_LIVES * viewSpacingMs,
-    silenceMs: SILENT_REPORTS * reportMs,
+    viewTtlMs: settings.quiet_after_reports * reportMs + VIEW_TTL_SPACINGS * viewSpacingMs,
+    silenceMs: SILENCE_HEARTBEATS * reportMs,
     stallMs: STALLED_TICKS * tickMs,
     moveBackoffMs: shardMovePeriodMs,
     moveBackoffBoundMs: settings.move_backoff_bound * shardMovePeriodMs,
--- a/src/links/awake-clock.ts
+++ b/src/links/stall-aware-clock.ts
@@ -11,7 +11,7 @@
 const LATENESS_WEIGHT = 0.3;
 
 /** Advances with the steady clock, but no further over a stall than a late tick takes. */
-export class AwakeClock {
+export class StallAwareClock {
   private awakeMs = 0;
   private lastTickAt: number;
   /** The fading mean of gaps between ticks, as a ratio to the wanted one. */
@@ -43,7 +43,7 @@
   }
 
   /** Whether the process stood still, or was short of processor time, lately. */
-  get delayed(): boolean {
+  get isDelayed(): boolean {
     return this.clock() < this.delayedUntil;
   }
 }
--- a/src/links/status.ts
+++ b/src/links/status.ts
@@ -1,7 +1,7 @@
 /** What operators are shown of one controller's links, as JSON and as text. */
 import * as z from "zod";
 import { DIRECTIONS, LINK_STATES, type Direction, type LinkState } from "./model.js";
-import { ACTIVITIES, DECISIONS, LOSSES } from "./policy.js";
+import { ACTIVITIES, DECISIONS, LOSSES } from "./degradation-policy.js";
 import { MONITOR_MODES } from "./settings.js";
 
 /** Checked where it comes from another controller; fields of a newer program are ignored. */
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -28,7 +28,7 @@
     LinkStatusQuery link_status = 19;
     LinkStatusReport link_report = 20;
   }
-  // The sender's view of its links (links/views.ts), checked apart: an odd one must not cost the frame.
+  // The sender's view of its links (links/link-view.ts), checked apart: an odd one must not cost the frame.
   bytes link_view = 18;
 }
 
--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -3,9 +3,9 @@
 import { test } from "node:test";
 import type { LinkName } from "../src/links/model.js";
 import { LinkMonitor } from "../src/links/monitor.js";
-import { ACTIVITIES } from "../src/links/policy.js";
+import { ACTIVITIES } from "../src/links/degradation-policy.js";
 import { deriveLinkTimings, linkSettingsSchema } from "../src/links/settings.js";
-import { encodeView, VIEW_VERSION } from "../src/links/views.js";
+import { encodeView, VIEW_VERSION } from "../src/links/link-view.js";
 import { silent } from "./support/records.js";
 
 const TICK_MS = 400;
@@ -34,7 +34,7 @@
     },
     {
       ownedShards: () => [{ shard: 0, term: 7, machines }],
-      leads: () => true,
+      isLeader: () => true,
       isMember: () => true,
       probe: (link) => void counts.probes.push(link),
       handOver: () => undefined,
@@ -135,5 +135,5 @@
     misrouted: [],
   };
   assert.equal(monitor.incoming(encodeView(view)), "b");
-  assert.equal(monitor.cannotHearWorkers("b"), false);
+  assert.equal(monitor.isCutOffFromWorkers("b"), false);
 });
--- a/test/links-properties.test.ts
+++ b/test/links-properties.test.ts
@@ -8,11 +8,17 @@
 import { DirectionTrack } from "../src/links/direction-track.js";
 import { MisroutedWorkers } from "../src/links/misrouted-workers.js";
 import { LINK_STATES, type Evidence } from "../src/links/model.js";
-import { ACTIVITIES, LOSSES, rulesWithout, type Decision, type Loss } from "../src/links/policy.js";
-import { policyTable } from "../src/links/policy-table.js";
+import {
+  ACTIVITIES,
+  LOSSES,
+  rulesWithout,
+  type Decision,
+  type Loss,
+} from "../src/links/degradation-policy.js";
+import { policyTable } from "../src/links/degradation-policy-table.js";
 import { deriveLinkTimings, linkSettingsSchema } from "../src/links/settings.js";
-import { ViewBook } from "../src/links/view-book.js";
-import { decodeView, encodeView, VIEW_VERSION, type LinkView } from "../src/links/views.js";
+import { PeerViews } from "../src/links/peer-views.js";
+import { decodeView, encodeView, VIEW_VERSION, type LinkView } from "../src/links/link-view.js";
 
 const RUNS = { seed: 20_261_202, numRuns: Number(process.env.PROPERTY_RUNS ?? 300) };
 
@@ -207,7 +213,7 @@
 
 test("of one process no older view follows a newer one, and none of a replaced process counts", () => {
   const holds = (views: LinkView[]): void => {
-    const book = new ViewBook(new Set(["b", "c"]), 1000);
+    const book = new PeerViews(new Set(["b", "c"]), 1000);
     const newest = new Map<string, number>();
     const current = new Map<string, string>();
     const replaced = new Set<string>();
@@ -230,7 +236,7 @@
   const at: number[] = [];
   for (let now = 0; now < 2_000_000; now += 1000)
     if (backoff.mayTry(0, now)) {
-      backoff.note(0, now);
+      backoff.recordAttempt(0, now);
       at.push(now);
     }
   const waits = at.slice(1).map((time, i) => time - at[i]!);
@@ -242,9 +248,9 @@
   const MACHINES = 4000;
   const misrouted = new MisroutedWorkers(8000, MACHINES);
   for (let now = 0; now < 4; now++)
-    for (let i = 0; i < 2 * MACHINES; i++) misrouted.note(3, 7, `i-${i}`, now);
+    for (let i = 0; i < 2 * MACHINES; i++) misrouted.record(3, 7, `i-${i}`, now);
   assert.deepEqual(misrouted.counts(4), [{ shard: 3, term: 7, workers: MACHINES }]);
-  misrouted.note(3, 8, "i-1", 5);
+  misrouted.record(3, 8, "i-1", 5);
   assert.deepEqual(misrouted.counts(5), [{ shard: 3, term: 8, workers: 1 }], "another term begins afresh");
   assert.deepEqual(misrouted.counts(8006), []);
 });
@@ -252,7 +258,9 @@
 test("the operators' page shows the policy as it is", () => {
   const page = readFileSync("docs/operating-links.md", "utf8");
   const shown =
-    /printed by src\/links\/policy-table.ts -->\n([^]*?)<!-- end of policy table/.exec(page)?.[1] ?? "";
+    /printed by src\/links\/degradation-policy-table.ts -->\n([^]*?)<!-- end of policy table/.exec(
+      page,
+    )?.[1] ?? "";
   // The page's formatter pads cells and rules.
   const cells = (table: string): string[][] =>
     table
--- a/test/links-traces.test.ts
+++ b/test/links-traces.test.ts
@@ -3,7 +3,7 @@
 import { LinkMonitor, type LinkMonitorOptions } from "../src/links/monitor.js";
 import type { Direction, LinkName, Observation } from "../src/links/model.js";
 import { deriveLinkTimings, linkSettingsSchema } from "../src/links/settings.js";
-import { encodeView, VIEW_VERSION } from "../src/links/views.js";
+import { encodeView, VIEW_VERSION } from "../src/links/link-view.js";
 import { list, number, traceTests, type Step, type TraceEvent } from "./support/trace.js";
 
 const TICK_MS = 400;
@@ -60,7 +60,7 @@
     );
     const hooks = {
       ownedShards: () => this.shards,
-      leads: () => this.leads,
+      isLeader: () => this.leads,
       isMember: (node: string) => this.members.includes(node),
       // How often peers are asked is counted elsewhere; here it would hide what matters.
       probe: (link: LinkName) => {
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -12,7 +12,7 @@
 import { collectLinkReports, LINK_EXIT_CODES, linkExitCode, linkTable } from "../src/cli/link-report.js";
 import { LinkMonitor } from "../src/links/monitor.js";
 import { DIRECTIONS, LINK_STATES, type Evidence, type Scope } from "../src/links/model.js";
-import { ACTIVITIES, DECISIONS, LOSSES, NORMAL_RULES, RULES_WITHOUT } from "../src/links/policy.js";
+import { ACTIVITIES, DECISIONS, LOSSES, NORMAL_RULES, RULES_WITHOUT } from "../src/links/degradation-policy.js";
 import { deriveLinkTimings, linkSettingsSchema, MONITOR_MODES } from "../src/links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../src/links/status.js";
 import type { PeerReply, PeerRequest } from "../src/peers/messages.js";
@@ -91,7 +91,7 @@
     },
     {
       ownedShards: () => [{ shard: 0, term: 7, machines: 4 }],
-      leads: () => false,
+      isLeader: () => false,
       isMember: () => true,
       probe: () => undefined,
       handOver: () => undefined,
--- a/test/peer-frames.test.ts
+++ b/test/peer-frames.test.ts
@@ -1,7 +1,7 @@
 /** The frames between controllers: byte-for-byte compatible, since two versions of the program talk during an upgrade. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
-import { decodeView, encodeView } from "../src/links/views.js";
+import { decodeView, encodeView } from "../src/links/link-view.js";
 import { decodeFrame, encodeFrame } from "../src/peers/messages.js";
 import { readFixture } from "./support/fixtures.js";
 import { frameOf, linkViewOf, MESSAGES, type PeerFrameFixtures } from "./support/peer-frames.js";
@@ -38,7 +38,7 @@
   });
 });
 
-void describe("links/views", () => {
+void describe("links/link-view", () => {
   test("a link view is encoded to the bytes of the fixture and decoded to its meaning", () => {
     const view = linkViewOf(linkView.meaning);
     assert.equal(hexOf(encodeView(view)), linkView.hex);
--- a/test/support/peer-frames.ts
+++ b/test/support/peer-frames.ts
@@ -2,7 +2,7 @@
  * What the frames in fixtures/peer-frames.json mean in the program's own terms: one function for each message, so that a
  * name that changes in the program changes here, and never in the fixture.
  */
-import type { LinkView } from "../../src/links/views.js";
+import type { LinkView } from "../../src/links/link-view.js";
 import type {
   Demand,
   FreeCapacity,
