--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -10,7 +10,8 @@
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
-import { StateStoreError, type StateStoreClient } from "../state/state-store-client.js";
+import type { StateStoreClient } from "../state/state-store-client.js";
+import { StateStoreError } from "../state/state-store-error.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import {
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -81,14 +81,14 @@
     this.peers = around.peers;
     this.fleet = new Fleet(log);
     this.shardAssignment = new ShardAssignment(settings.teams, settings.controllers);
-    this.state = new StateStoreClient(
-      around.state,
-      around.watches,
-      settings.state,
-      settings.controllers,
+    this.state = new StateStoreClient({
+      http: around.state,
+      watchHttp: around.watches,
+      limits: settings.state,
+      controllers: settings.controllers,
       clock,
-      figures.callMs,
-    );
+      timeoutMs: figures.callMs,
+    });
     const cloud = new CloudClient(
       around.cloud,
       settings.cloud.rps,
@@ -253,7 +253,7 @@
     };
     const feed = watchRecords(
       this.state,
-      { whole: LIVE_PREFIX, followed: ROOT_PREFIX },
+      { listed: LIVE_PREFIX, watched: ROOT_PREFIX },
       pace,
       this.clock,
       this.log,
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -4,7 +4,8 @@
  */
 import { LRUCache } from "lru-cache";
 import type { Settings } from "../config/settings.js";
-import { StateStoreError, type StateStoreClient } from "../state/state-store-client.js";
+import type { StateStoreClient } from "../state/state-store-client.js";
+import { StateStoreError } from "../state/state-store-error.js";
 import type { ReadBarrier } from "../state/read-barrier.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
--- a/src/shards/shard-owner.ts
+++ b/src/shards/shard-owner.ts
@@ -2,7 +2,9 @@
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
-import { StateStoreError, type StateStoreClient, type WritePriority } from "../state/state-store-client.js";
+import type { WritePriority } from "../state/shared-write-rate.js";
+import type { StateStoreClient } from "../state/state-store-client.js";
+import { StateStoreError } from "../state/state-store-error.js";
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import { jittered, sleep } from "../runtime/sleep.js";
@@ -280,9 +282,9 @@
       );
       if (result.ok) for (const completion of completions) completion.onDurable();
       // Guards against a completion racing with a cancellation: whoever changed the job's record first has won.
-      else if (!result.failed.includes(own))
+      else if (!result.failedKeys.includes(own))
         for (const completion of completions)
-          if (completion.conditions.some((g) => result.failed.includes(g.key)))
+          if (completion.conditions.some((g) => result.failedKeys.includes(g.key)))
             await this.resolveCompletion(completion);
     } catch (err) {
       this.log.debug({ err: (err as Error).message }, "completions not written yet");
@@ -333,7 +335,7 @@
       this.shard.cancelRemoval(leaving);
     } catch (err) {
       this.log.debug({ err: (err as Error).message, hosts: leaving }, "leaving not confirmed");
-      if (!(err instanceof StateStoreError) || err.maybe)
+      if (!(err instanceof StateStoreError) || err.outcome === "unknown")
         for (const { key } of guards) void this.resolveRemoval(key, leaving);
       else this.shard.cancelRemoval(leaving);
     }
--- a/src/state/read-barrier.ts
+++ b/src/state/read-barrier.ts
@@ -1,8 +1,10 @@
 /**
- * Makes sure that this node's copy of the records is as new as any answer that any node has given. One small read
- * serves all who ask before it is sent, so that what it costs does not grow with the number of users.
+ * The read barrier: makes sure that this controller's replica is at least as new as any answer that any controller has
+ * given. One small read serves all callers that have come before it is sent, so that its cost does not grow with the
+ * number of users.
  */
-import { StateStoreError, type StateStoreClient } from "./state-store-client.js";
+import type { StateStoreClient } from "./state-store-client.js";
+import { StateStoreError } from "./state-store-error.js";
 import type { Replica } from "./replica.js";
 
 interface Waiter {
@@ -10,7 +12,7 @@
   reject: (err: Error) => void;
 }
 
-/** Waits until the replica is as new as the service was when somebody asked. */
+/** Waits until the replica has reached the state store's revision at the time of the call. */
 export class ReadBarrier {
   private waiters: Waiter[] = [];
   private reading = false;
@@ -18,21 +20,25 @@
   constructor(
     private readonly state: Pick<StateStoreClient, "currentRevision">,
     private readonly replica: Pick<Replica, "waitForRevision">,
+    /** How long the replica may take to reach the revision that was read, in milliseconds. */
     private readonly queueTimeoutMs: number,
   ) {}
 
-  /** Resolves once the copy holds all that was durable when this was called; fails if that takes too long. */
+  /**
+   * Resolves once the replica holds all that was durable when this was called.
+   * @throws StateStoreError if the state store does not answer or the replica does not catch up in time.
+   */
   waitUntilCurrent(): Promise<void> {
     return new Promise((resolve, reject) => {
       this.waiters.push({ resolve, reject });
-      if (!this.reading) void this.drainWaiters();
+      if (!this.reading) void this.serveWaiters();
     });
   }
 
-  private async drainWaiters(): Promise<void> {
+  private async serveWaiters(): Promise<void> {
     this.reading = true;
     while (this.waiters.length > 0) {
-      // Only those who asked before the read is sent are answered by it.
+      // A read serves only those who have come before it is sent.
       const served = this.waiters;
       this.waiters = [];
       try {
@@ -47,13 +53,13 @@
 
   private async waitForRevision(revision: number): Promise<void> {
     let timer: NodeJS.Timeout | undefined;
-    const late = new Promise<never>((_, reject) => {
+    const timeout = new Promise<never>((_, reject) => {
       timer = setTimeout(() => {
-        reject(new StateStoreError("the feed is behind", false));
+        reject(new StateStoreError("replica is behind the state store", { outcome: "rejected" }));
       }, this.queueTimeoutMs);
     });
     try {
-      await Promise.race([this.replica.waitForRevision(revision), late]);
+      await Promise.race([this.replica.waitForRevision(revision), timeout]);
     } finally {
       clearTimeout(timer);
     }
--- a/src/state/watch.ts
+++ b/src/state/watch.ts
@@ -1,4 +1,4 @@
-/** The live records as a stream: one full reading, then every change in order; again from the start after a gap. */
+/** The records as a stream: one complete listing, then every change in order; a new listing after a gap. */
 import { Readable } from "node:stream";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
@@ -6,58 +6,68 @@
 import type { RecordChange, RecordEntry } from "../wire/index.js";
 import type { StateStoreClient } from "./state-store-client.js";
 
-/** A whole reading of the records, or changes since the last item. */
-export type WatchEvent =
-  | { kind: "reset"; entries: RecordEntry[]; revision: number; asOf: number }
-  | { kind: "changes"; changes: RecordChange[]; revision: number; asOf: number };
+/** A complete listing of the records, or the changes since the last event. */
+export type WatchEvent = {
+  /** The state store's revision that the event leads to. */
+  revision: number;
+  /** Steady time, in milliseconds, up to which all durable changes are contained in this and earlier events. */
+  completeAsOf: number;
+} & ({ kind: "reset"; entries: RecordEntry[] } | { kind: "changes"; changes: RecordChange[] });
 
-/** How often the service is asked, in milliseconds. */
+/** How often the state store is called, in milliseconds. */
 export interface WatchPacing {
-  /** How long one watch stays open: bounds how old an unchanged view may be. */
+  /** How long one watch stays open without a change: it bounds the age of an unchanged view. */
   waitMs: number;
-  /** The least time between two watches: a busy store is read in batches, within the budget. */
+  /** The least time between the starts of two watches: a busy store is read in batches, within the rate limit. */
   spacingMs: number;
-  /** The pause after a failed call. */
+  /** The mean pause after a failed call. */
   retryMs: number;
 }
 
-/** The stream of records: a whole reading, then changes in order; a reading again after a gap. */
+/** The prefixes of the keys that are listed and watched. */
+export interface WatchPrefixes {
+  /** What the complete listing contains. */
+  listed: string;
+  /** Changes under this prefix of `listed` are followed. */
+  watched: string;
+}
+
+/** A stream of `WatchEvent`s; failed calls are retried for ever, so that it ends only when it is destroyed. */
 export function watchRecords(
   client: StateStoreClient,
-  /** What is read whole, and what is then followed: a prefix of it. */
-  { whole, followed }: { whole: string; followed: string },
-  pace: WatchPacing,
+  { listed, watched }: WatchPrefixes,
+  pacing: WatchPacing,
   clock: SteadyClock,
   log: Logger,
 ): Readable {
-  async function* items(): AsyncGenerator<WatchEvent> {
+  async function* events(): AsyncGenerator<WatchEvent> {
     let since: number | null = null;
     for (;;) {
-      // `asOf` is when the call was *sent*: whatever was durable by then is in the answer.
-      const asOf = clock();
+      // The time when the call is *sent*: whatever was durable by then is in the answer.
+      const completeAsOf = clock();
       try {
         if (since === null) {
-          const all = await readAllPages(client, whole);
-          since = all.revision;
-          yield { kind: "reset", entries: all.entries, revision: since, asOf };
+          const listing = await readAllPages(client, listed);
+          since = listing.revision;
+          yield { kind: "reset", entries: listing.entries, revision: since, completeAsOf };
           continue;
         }
-        const next = await client.watchChanges(followed, since, pace.waitMs);
-        if (next === null) {
+        const batch = await client.watchChanges(watched, since, pacing.waitMs);
+        if (batch === null) {
           since = null;
           continue;
         }
-        since = Math.max(since, next.revision);
-        yield { kind: "changes", changes: next.changes, revision: since, asOf };
-        const left = pace.spacingMs - (clock() - asOf);
-        if (left > 0) await sleep(left);
+        since = Math.max(since, batch.revision);
+        yield { kind: "changes", changes: batch.changes, revision: since, completeAsOf };
+        const pauseMs = pacing.spacingMs - (clock() - completeAsOf);
+        if (pauseMs > 0) await sleep(pauseMs);
       } catch (err) {
-        log.debug({ err: (err as Error).message }, "state feed waits");
-        await sleep(jittered(pace.retryMs));
+        log.debug({ err }, "watch failed");
+        await sleep(jittered(pacing.retryMs));
       }
     }
   }
-  return Readable.from(items(), { objectMode: true, highWaterMark: 1 });
+  return Readable.from(events(), { objectMode: true, highWaterMark: 1 });
 }
 
 async function readAllPages(
@@ -68,7 +78,7 @@
   let revision: number | null = null;
   for (let more = true, after: string | undefined; more;) {
     const page = await client.readPage(prefix, after);
-    // Pages are read one after the other; changes since the *first* are replayed over all of them.
+    // Pages are read one after the other; changes since the *first* are applied on top of all of them.
     revision ??= page.revision;
     for (const entry of page.entries) entries.push(entry);
     after = page.entries.at(-1)?.key;
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -4,7 +4,8 @@
 import { planMembership, type MembershipView } from "../src/membership/membership-planner.js";
 import { Membership } from "../src/membership/membership.js";
 import { continuesTerm, type ControllerRecord } from "../src/membership/cluster-records.js";
-import { StateStoreError, type StateStoreClient } from "../src/state/state-store-client.js";
+import type { StateStoreClient } from "../src/state/state-store-client.js";
+import { StateStoreError } from "../src/state/state-store-error.js";
 import { keys } from "../src/state/keys.js";
 import type { Condition, Write } from "../src/wire/index.js";
 import { FakeView, silent } from "./support/records.js";
@@ -123,7 +124,7 @@
     compareAndSwap: async (guards: Condition[], writes: Write[]) => {
       await settle();
       const failed = guards.filter(({ key, version }) => (store.get(key)?.version ?? 0) !== version);
-      if (failed.length > 0) return { ok: false as const, failed: failed.map(({ key }) => key) };
+      if (failed.length > 0) return { ok: false as const, failedKeys: failed.map(({ key }) => key) };
       revision++;
       for (const write of writes) if ("put" in write) store.put(write.put, write.value, revision);
       written(membership);
@@ -147,7 +148,7 @@
   const [LEASE_MS, TICK_MS] = [5000, 400];
   let now = 0;
   let heard = true;
-  const lost = new StateStoreError("timed out", true);
+  const lost = new StateStoreError("timed out", { outcome: "unknown" });
   const renewals = { count: 0 };
   const answered = (): Promise<void> => (heard ? Promise.resolve() : Promise.reject(lost));
   const { membership, store } = owningAll(() => undefined, { clock: () => now, answered, renewals });
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -56,10 +56,10 @@
   reads[0]!(7);
   await turn();
   assert.deepEqual(answered, []);
-  replica.write({ kind: "changes", changes: [], revision: 6, asOf: 0 });
+  replica.write({ kind: "changes", changes: [], revision: 6, completeAsOf: 0 });
   await turn();
   assert.deepEqual(answered, []);
-  replica.write({ kind: "changes", changes: [], revision: 7, asOf: 0 });
+  replica.write({ kind: "changes", changes: [], revision: 7, completeAsOf: 0 });
   await turn();
   assert.deepEqual(answered, ["a"]);
   assert.equal(reads.length, 2);
@@ -71,7 +71,7 @@
 test("records are found by their kind, and a later version is never undone by an earlier one", () => {
   const replica = new Replica();
   const put = (key: string, version: number, value: unknown = {}) => ({ key, version, value });
-  replica.write({ kind: "reset", entries: [put(keys.job("req-1"), 3)], revision: 3, asOf: 0 });
+  replica.write({ kind: "reset", entries: [put(keys.job("req-1"), 3)], revision: 3, completeAsOf: 0 });
   replica.write({
     kind: "changes",
     changes: [
@@ -81,7 +81,7 @@
       { key: keys.job("req-1"), version: 4, value: undefined },
     ],
     revision: 6,
-    asOf: 1,
+    completeAsOf: 1,
   });
   assert.equal(replica.get(keys.job("req-1")), undefined);
   assert.deepEqual(
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -55,14 +55,14 @@
         return { status: answer.status, body: answer.body };
       },
     };
-    this.client = new StateStoreClient(
+    this.client = new StateStoreClient({
       http,
-      http,
-      { rps: 1000, writeRps: 1000, txnOps: 8 },
-      1,
-      () => 0,
-      1000,
-    );
+      watchHttp: http,
+      limits: { rps: 1000, writeRps: 1000, txnOps: 8 },
+      controllers: 1,
+      clock: () => 0,
+      timeoutMs: 1000,
+    });
     this.store.onChange = (change) => {
       if ("put" in change) this.view.put(change.put, change.value, change.stamp);
       else this.view.remove(change.remove, change.stamp);
