--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -111,15 +111,16 @@
   }
 
   private makeMembership(): Membership {
-    return new Membership(
-      { node: this.settings.node, incarnation: this.incarnation },
-      this.settings.controllers,
-      this.settings.controllers,
-      this.timings,
-      this.state,
-      this.replica,
-      this.clock,
-      {
+    return new Membership({
+      self: { node: this.settings.node, incarnation: this.incarnation },
+      // There are as many shards as controllers.
+      shards: this.settings.controllers,
+      controllers: this.settings.controllers,
+      timings: this.timings,
+      state: this.state,
+      view: this.replica,
+      clock: this.clock,
+      callbacks: {
         onOwnershipChanged: () => {
           this.shards.reconcileOwnership();
         },
@@ -127,8 +128,8 @@
           void this.requestController(owner, { handOver: { shard, to } }).catch(() => undefined),
         isCutOffFromWorkers: (node) => this.links.policy.cannotHearWorkers(node),
       },
-      this.log,
-    );
+      log: this.log,
+    });
   }
 
   private makeRouter(): HeartbeatRouter {
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -143,7 +143,8 @@
       probe: (link) => {
         this.probe(link);
       },
-      handOver: (shard, to) => void this.parts?.membership.tell({ kind: "hand_over", shard, to }),
+      handOver: (shard, successor) =>
+        void this.parts?.membership.tell({ kind: "hand_over", shard, successor }),
       resign: () => void this.parts?.membership.tell({ kind: "resign" }),
     };
   }
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -46,12 +46,15 @@
     return { counts: await owner.ask((reply) => ({ kind: "task_counts", job, reply })) };
   }
   if ("drain" in request || "give" in request) return handleMachineRemoval(request, ownerOf);
-  if ("handOver" in request) membership.tell({ kind: "hand_over", ...request.handOver });
+  if ("handOver" in request) {
+    const { shard, to: successor } = request.handOver;
+    membership.tell({ kind: "hand_over", shard, successor });
+  }
   if ("misroutedHeartbeat" in request) {
     const { shard, cameTo } = request.misroutedHeartbeat;
     // One worker alone says little; if none comes here any more, the shard is better off where they go.
     if (ownerOf(shard)?.isCutOffFromWorkers && targets.mayHandOver(shard))
-      membership.tell({ kind: "hand_over", shard, to: cameTo });
+      membership.tell({ kind: "hand_over", shard, successor: cameTo });
   }
   if ("cancelled" in request) {
     const { shard, job } = request.cancelled;
--- a/src/membership/cluster-records.ts
+++ b/src/membership/cluster-records.ts
@@ -1,39 +1,75 @@
-/** The records of who is up, who leads and who owns which shard. A shard's token is its record's version. */
+/**
+ * The records of the membership: which controllers are up, which one leads and which one owns each shard. The version of
+ * a shard's record is the shard's fencing token.
+ */
 import * as z from "zod";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 
-const controllerSchema = z.object({ node: z.string(), incarnation: z.string(), mark: z.string().optional() });
-
-/** One life of a controller: its node and a name made at its start. */
+/** One life of a controller: its node, and an id that it made at its start. */
 export interface ControllerInstance {
   node: string;
   incarnation: string;
 }
 
-/** A process as a record names it, and the version of that record. */
+/** The value of a record that names a controller instance, as it is stored. */
+interface StoredController {
+  node: string;
+  incarnation: string;
+  /** The id of the token advance that wrote the record, if one did. */
+  mark?: string | undefined;
+}
+
+const storedControllerSchema = z.object({
+  node: z.string(),
+  incarnation: z.string(),
+  mark: z.string().optional(),
+});
+
+/** A controller instance as a record names it. */
 export interface ControllerRecord extends ControllerInstance {
   version: number;
-  /** Which raise of a shard's token wrote it, if one did. */
-  mark?: string | undefined;
+  /** Which token advance of a shard's owner wrote the record; null if none did. */
+  advanceId: string | null;
 }
 
-/** Who is a member, who leads and who owns which shard, at one revision. */
+/** Which controllers are members, which one leads and which one owns each shard, at one revision. */
 export interface Cluster {
+  /** By node. */
   members: Map<string, ControllerRecord>;
   leader: ControllerRecord | null;
-  /** By shard; null where nobody has ever owned it. */
+  /** By shard; null where no controller has ever owned it. */
   shards: (ControllerRecord | null)[];
 }
 
+/** The value of a record that names a controller instance as member, leader or owner. */
+export const encodeController = ({ node, incarnation }: ControllerInstance): StoredController => ({
+  node,
+  incarnation,
+});
+
+/** The value of a shard's record whose owner advances its token: `advanceId` tells the write from all others. */
+export const encodeTokenAdvance = (owner: ControllerInstance, advanceId: string): StoredController => ({
+  ...encodeController(owner),
+  mark: advanceId,
+});
+
+/** The controller instance that a record's value names; null if the value does not name one. */
+export function decodeController(value: unknown): ControllerInstance | null {
+  const parsed = storedControllerSchema.safeParse(value);
+  return parsed.success ? { node: parsed.data.node, incarnation: parsed.data.incarnation } : null;
+}
+
 function readControllerRecord(view: ReplicaView, key: string): ControllerRecord | null {
   const entry = view.get(key);
-  const parsed = controllerSchema.safeParse(entry?.value);
-  return entry === undefined || !parsed.success ? null : { ...parsed.data, version: entry.version };
+  const parsed = storedControllerSchema.safeParse(entry?.value);
+  if (entry === undefined || !parsed.success) return null;
+  const { node, incarnation, mark } = parsed.data;
+  return { node, incarnation, version: entry.version, advanceId: mark ?? null };
 }
 
-/** Reads the ownership records out of a replica. */
-export function readCluster(view: ReplicaView, shards: number): Cluster {
+/** Reads the membership records of a cluster of so many shards out of a replica. */
+export function readCluster(view: ReplicaView, shardCount: number): Cluster {
   const members = new Map<string, ControllerRecord>();
   for (const entry of view.list(prefixes.members)) {
     const member = readControllerRecord(view, entry.key);
@@ -42,40 +78,23 @@
   return {
     members,
     leader: readControllerRecord(view, keys.leader),
-    shards: Array.from({ length: shards }, (_, n) => readControllerRecord(view, keys.shard(n))),
+    shards: Array.from({ length: shardCount }, (_, shard) => readControllerRecord(view, keys.shard(shard))),
   };
 }
 
-/** Whether a shard has gone from one live node to another in between. */
-export function hasShardHandOver(before: Cluster, now: Cluster): boolean {
-  return before.shards.some((shard, n) => {
-    const owner = now.shards[n]?.node;
-    return shard !== null && owner !== undefined && owner !== shard.node && now.members.has(shard.node);
+/** Whether a shard has passed from one live controller to another between two states of the cluster. */
+export function hasShardHandOver(before: Cluster, after: Cluster): boolean {
+  return before.shards.some((formerOwner, shard) => {
+    const owner = after.shards[shard]?.node;
+    return (
+      formerOwner !== null &&
+      owner !== undefined &&
+      owner !== formerOwner.node &&
+      after.members.has(formerOwner.node)
+    );
   });
 }
 
+/** Whether two records name the same life of the same controller. */
 export const isSameInstance = (a: ControllerInstance | null | undefined, b: ControllerInstance): boolean =>
   a?.node === b.node && a.incarnation === b.incarnation;
-
-/** A change of a shard's record that its owner made itself, or meant to: the token rises, and the owner stays. */
-export interface TokenAdvance {
-  /** The version that the change was made on the condition of. */
-  fromVersion: number;
-  /** A name that no other change bears. */
-  advanceId: string;
-}
-
-/**
- * Whether an owner that knew its shard at one version may go on with what it knows at another. Guards against
- * `ran_twice`: a process cut off for a while may find itself the owner again without ever having seen that
- * another was in between. Only a change that it made itself, on the version that it knew, leaves no such gap. The
- * change is known by its mark, since the feed may show it before the write is answered, or without an answer ever.
- */
-export function continuesTerm(
-  known: number,
-  now: Pick<ControllerRecord, "version" | "mark">,
-  advance: TokenAdvance | undefined,
-): boolean {
-  if (now.version === known) return true;
-  return advance?.fromVersion === known && advance.advanceId === now.mark;
-}
--- a/src/membership/membership-planner.ts
+++ b/src/membership/membership-planner.ts
@@ -1,6 +1,4 @@
-/** What a controller should do about leadership and shards, from what the records say. Pure. */
-import { keys } from "../state/keys.js";
-import type { Condition, Write } from "../wire/index.js";
+/** Decides what a controller should do about leadership and the ownership of shards. Pure. */
 import {
   isSameInstance,
   type Cluster,
@@ -8,141 +6,113 @@
   type ControllerInstance,
 } from "./cluster-records.js";
 
-/** A step towards a leader and an owner for every shard. */
+/** A step towards a cluster with a leader and an owner for every shard. */
 export type MembershipAction =
-  | { kind: "lead"; over: ControllerRecord | null }
-  | { kind: "resume"; shard: number; from: ControllerRecord }
-  | { kind: "assign"; shard: number; from: ControllerRecord | null; to: ControllerRecord }
-  | { kind: "ask_hand_over"; shard: number; owner: string; to: string };
+  /** This process acquires leadership, which is vacant or that of an earlier life of its node. */
+  | { kind: "lead"; formerLeader: ControllerRecord | null }
+  /** This process takes over a shard from an earlier life of its node. */
+  | { kind: "resume"; shard: number; record: ControllerRecord }
+  /** The leader gives a shard that has no live owner to a member. */
+  | {
+      kind: "assign";
+      shard: number;
+      formerOwner: ControllerRecord | null;
+      successor: ControllerRecord;
+    }
+  /** The leader asks a live owner to hand a shard over to a controller that owns fewer. */
+  | { kind: "request_hand_over"; shard: number; owner: string; successor: string };
 
-/** All that a decision on membership is made on. */
+/** All that a decision on the membership is based on. */
 export interface MembershipView {
   self: ControllerInstance;
   cluster: Cluster;
+  /** How many controllers the cluster is configured with. */
   controllers: number;
   /** How long this process has led; 0 if it does not. */
   leadingForMs: number;
-  /** How long the leader waits for the others before it gives out shards that nobody has ever owned. */
+  /** How long a leader waits for all controllers to join before it assigns shards that have never been owned. */
   bootstrapGraceMs: number;
-  /** Whether the shard period has passed since the last move. */
+  /** Whether enough time has passed since the last hand-over for another one that only balances the load. */
   mayMove: boolean;
-  /** Whether this process may take vacant leadership: not soon after it has given it up for another's sake. */
+  /** Whether this process may acquire vacant leadership: not soon after it has resigned in favour of another. */
   mayLead: boolean;
-  /** Whether a controller is known not to be reached by workers: it gets shards only if all are. */
+  /** Whether it is known that no worker reaches a node's controller: it gets shards only if that is so of all. */
   isCutOffFromWorkers: (node: string) => boolean;
 }
 
-/** What this process should try to change in the records of who leads and owns. */
+/** What this process should try to change about leadership and ownership. */
 export function planMembership(view: MembershipView): MembershipAction[] {
-  const { self: me, cluster } = view;
+  const { self, cluster } = view;
   const actions: MembershipAction[] = [];
-  // Guards against losing the time of a whole membership lease: a process that came back knows that its old self is dead.
-  const ownOldSelf = cluster.leader?.node === me.node && !isSameInstance(cluster.leader, me);
-  if ((cluster.leader === null && view.mayLead) || ownOldSelf)
-    actions.push({ kind: "lead", over: cluster.leader });
-  cluster.shards.forEach((shard, n) => {
-    if (shard !== null && shard.node === me.node && !isSameInstance(shard, me))
-      actions.push({ kind: "resume", shard: n, from: shard });
+  // Guards against losing the time of a whole membership lease: a restarted process knows that its earlier life is over.
+  const ledBefore = cluster.leader?.node === self.node && !isSameInstance(cluster.leader, self);
+  if ((cluster.leader === null && view.mayLead) || ledBefore)
+    actions.push({ kind: "lead", formerLeader: cluster.leader });
+  cluster.shards.forEach((record, shard) => {
+    if (record !== null && record.node === self.node && !isSameInstance(record, self))
+      actions.push({ kind: "resume", shard, record });
   });
-  if (isSameInstance(cluster.leader, me)) actions.push(...planAsLeader(view));
+  if (isSameInstance(cluster.leader, self)) actions.push(...planAsLeader(view));
   return actions;
 }
 
+/** Assigns all shards without a live owner; only if there are none, it balances the load. */
 function planAsLeader(view: MembershipView): MembershipAction[] {
-  const { cluster } = view;
-  const members = [...cluster.members.values()].sort((a, b) => (a.node < b.node ? -1 : 1));
+  const members = [...view.cluster.members.values()].sort((a, b) => (a.node < b.node ? -1 : 1));
   if (members.length === 0) return [];
-  const suited = members.filter((member) => !view.isCutOffFromWorkers(member.node));
-  const heirs = suited.length > 0 ? suited : members;
-  const load = new Map(members.map((m) => [m.node, 0]));
-  for (const shard of cluster.shards) {
-    const count = shard === null ? undefined : load.get(shard.node);
-    if (shard !== null && count !== undefined) load.set(shard.node, count + 1);
-  }
-  const byLoad = (): ControllerRecord[] => [...heirs].sort((a, b) => load.get(a.node)! - load.get(b.node)!);
+  const load = new ShardLoad(members, view);
+  const assignments = planAssignments(view, members.length, load);
+  if (assignments.length > 0 || !view.mayMove) return assignments;
+  return planBalancing(view.cluster, load);
+}
+
+function planAssignments(view: MembershipView, memberCount: number, load: ShardLoad): MembershipAction[] {
+  const { cluster, controllers, leadingForMs, bootstrapGraceMs } = view;
   const actions: MembershipAction[] = [];
-  const gathered = members.length >= view.controllers || view.leadingForMs >= view.bootstrapGraceMs;
-  cluster.shards.forEach((shard, n) => {
-    const orphan = shard === null ? gathered : !cluster.members.has(shard.node);
-    if (!orphan) return;
-    const to = byLoad()[0]!;
-    load.set(to.node, load.get(to.node)! + 1);
-    actions.push({ kind: "assign", shard: n, from: shard, to });
+  const mayBootstrap = memberCount >= controllers || leadingForMs >= bootstrapGraceMs;
+  cluster.shards.forEach((formerOwner, shard) => {
+    const needsOwner = formerOwner === null ? mayBootstrap : !cluster.members.has(formerOwner.node);
+    if (!needsOwner) return;
+    const successor = load.eligibleByLoad()[0]!;
+    load.add(successor.node);
+    actions.push({ kind: "assign", shard, formerOwner, successor });
   });
-  if (actions.length > 0 || !view.mayMove) return actions;
-  const order = byLoad();
-  const least = order[0]!;
-  const most = order.at(-1)!;
-  if (load.get(most.node)! - load.get(least.node)! >= 2) {
-    const shard = cluster.shards.findIndex((s) => s?.node === most.node);
-    actions.push({ kind: "ask_hand_over", shard, owner: most.node, to: least.node });
-  }
   return actions;
 }
 
-/** A conditional write of ownership records. */
-export interface ConditionalTransaction {
-  conditions: Condition[];
-  writes: Write[];
+function planBalancing(cluster: Cluster, load: ShardLoad): MembershipAction[] {
+  const eligible = load.eligibleByLoad();
+  const least = eligible[0]!;
+  const most = eligible.at(-1)!;
+  if (load.of(most.node) - load.of(least.node) < 2) return [];
+  const shard = cluster.shards.findIndex((record) => record?.node === most.node);
+  return [{ kind: "request_hand_over", shard, owner: most.node, successor: least.node }];
 }
 
-/** An entry among the members: the guard keeps a late copy of an older self's entry from overwriting this one. */
-export function joinTransaction(
-  me: ControllerInstance,
-  lease: number,
-  knownVersion: number,
-): ConditionalTransaction {
-  const key = keys.member(me.node);
-  return { conditions: [{ key, version: knownVersion }], writes: [{ put: key, value: me, lease }] };
-}
+/** How many shards each member owns. */
+class ShardLoad {
+  private readonly shardCounts: Map<string, number>;
+  /** The members that may be given shards, in the order of their nodes. */
+  private readonly eligible: ControllerRecord[];
 
-/** Passes a shard to a member that is still the one it was chosen as; `record` is the shard's record as it is known. */
-export function handOverTransaction(
-  shard: number,
-  record: ControllerRecord,
-  successor: ControllerRecord,
-): ConditionalTransaction {
-  const key = keys.shard(shard);
-  const conditions = [
-    { key, version: record.version },
-    { key: keys.member(successor.node), version: successor.version },
-  ];
-  const value: ControllerInstance = { node: successor.node, incarnation: successor.incarnation };
-  return { conditions, writes: [{ put: key, value }] };
-}
+  constructor(members: ControllerRecord[], { cluster, isCutOffFromWorkers }: MembershipView) {
+    const reachable = members.filter((member) => !isCutOffFromWorkers(member.node));
+    this.eligible = reachable.length > 0 ? reachable : members;
+    this.shardCounts = new Map(members.map((member) => [member.node, 0]));
+    for (const owner of cluster.shards)
+      if (owner !== null && this.shardCounts.has(owner.node)) this.add(owner.node);
+  }
 
-/**
- * The transaction that carries out an action. Each is on the condition of the versions that the decision was made on,
- * so that a copy that comes late, from this process or from its old self, changes nothing.
- */
-export function transactionFor(
-  action: Exclude<MembershipAction, { kind: "ask_hand_over" }>,
-  me: ControllerInstance,
-  lease: number,
-  cluster: Cluster,
-): ConditionalTransaction {
-  switch (action.kind) {
-    case "lead":
-      return {
-        conditions: [{ key: keys.leader, version: action.over?.version ?? 0 }],
-        writes: [{ put: keys.leader, value: me, lease }],
-      };
-    case "resume": {
-      const key = keys.shard(action.shard);
-      return { conditions: [{ key, version: action.from.version }], writes: [{ put: key, value: me }] };
-    }
-    case "assign": {
-      const { shard, from, to } = action;
-      const key = keys.shard(shard);
-      const guards = [
-        { key: keys.leader, version: cluster.leader?.version ?? 0 },
-        { key, version: from?.version ?? 0 },
-        { key: keys.member(to.node), version: to.version },
-      ];
-      // The old owner's lease must be over *when this is applied*; it counts the lease as over before that.
-      if (from !== null) guards.push({ key: keys.member(from.node), version: 0 });
-      const value: ControllerInstance = { node: to.node, incarnation: to.incarnation };
-      return { conditions: guards, writes: [{ put: key, value }] };
-    }
+  of(node: string): number {
+    return this.shardCounts.get(node)!;
+  }
+
+  add(node: string): void {
+    this.shardCounts.set(node, this.of(node) + 1);
+  }
+
+  /** The members that may be given shards, those with the fewest first. */
+  eligibleByLoad(): ControllerRecord[] {
+    return [...this.eligible].sort((a, b) => this.of(a.node) - this.of(b.node));
   }
 }
--- a/src/membership/shard-authority.ts
+++ b/src/membership/shard-authority.ts
@@ -1,34 +1,37 @@
-/** Whether a process may act for a shard right now, decided on its evidence and with a reason. Pure. */
+/** Decides whether a process may act for a shard at present, on its evidence and with a reason. Pure. */
 
-/** Why a process may not act for a shard. */
+/** Why a process may not act for a shard. The names are part of the answer of `GET /decisions`. */
 export type AuthorityRefusal =
-  /** The records name another owner, or another life of this controller. */
+  /** The shard's record names another controller, or another life of this one. */
   | "not_owner"
-  /** It has stepped back while it passes the shard on. */
+  /** The process has relinquished the shard in order to hand it over. */
   | "passing_on"
-  /** Its membership lease cannot be proven to last any more. */
+  /** Its membership lease can no longer be proven to last. */
   | "lease_over"
-  /** Its copy of the records is older than its own entry, and says nothing of what it owns. */
+  /** Its replica is older than its own member record, and says nothing of what it owns. */
   | "view_before_entry"
-  /** A cancellation may have been confirmed that its copy of the records does not show. */
+  /** A cancellation may have been confirmed that its replica does not show. */
   | "view_too_old"
-  /** The shard's record has changed hands since this owner began. */
+  /** The shard has had another owner since this term began. */
   | "other_term";
 
-/** How far the membership lease and the copy of the records still carry. */
+/** How far the membership lease and the replica carry decisions. */
 export interface LeaseEvidence {
+  /** How long the membership lease can still be proven, in milliseconds; negative once it cannot. */
   leaseLeftMs: number;
-  /** Since when the copy of the records is surely complete: the age of the request that it was read with. */
+  /** For how long the replica may have been incomplete, in milliseconds: the age of the request that it was read with. */
   viewAgeMs: number;
+  /** Whether the replica is at least as new as this process's member record. */
   viewShowsJoin: boolean;
-  /** The oldest copy on which a worker's lease may be renewed. */
+  /** The age, in milliseconds, from which a replica is too old for the renewal of a worker's lease. */
   staleMs: number;
 }
 
-/** What a decision on a shard is made on. */
+/** What a decision on the authority for a shard is based on. */
 export interface ShardAuthorityEvidence extends LeaseEvidence {
-  /** The version of the shard's record if it names this process. */
+  /** The version of the shard's record if it names this process, otherwise null. */
   token: number | null;
+  /** Whether the process has relinquished the shard in order to hand it over. */
   handingOver: boolean;
 }
 
@@ -37,18 +40,18 @@
   { held: true; token: number } | { held: false; reason: AuthorityRefusal }
 );
 
-/** Why the lease and the copy of the records do not carry any decision; null where they do. */
+/** Why the lease and the replica do not carry any decision; null where they do. */
 export function leaseRefusal(evidence: LeaseEvidence): AuthorityRefusal | null {
   if (evidence.leaseLeftMs <= 0) return "lease_over";
   if (!evidence.viewShowsJoin) return "view_before_entry";
-  // Guards against renewing leases for a task whose cancellation has not reached this process.
+  // Guards against renewing a worker's lease for a task whose cancellation has not reached this process.
   if (evidence.viewAgeMs >= evidence.staleMs) return "view_too_old";
   return null;
 }
 
 /** Decides on the right to act for a shard. */
 export function decideShardAuthority(evidence: ShardAuthorityEvidence): ShardAuthority {
-  const { token, handingOver: passingOn, leaseLeftMs, viewAgeMs } = evidence;
+  const { token, handingOver, leaseLeftMs, viewAgeMs } = evidence;
   const refused = (reason: AuthorityRefusal): ShardAuthority => ({
     held: false,
     reason,
@@ -56,7 +59,7 @@
     viewAgeMs,
   });
   if (token === null) return refused("not_owner");
-  if (passingOn) return refused("passing_on");
+  if (handingOver) return refused("passing_on");
   const reason = leaseRefusal(evidence);
   return reason === null ? { held: true, token, leaseLeftMs, viewAgeMs } : refused(reason);
 }
--- a/src/state/state-store-client.ts
+++ b/src/state/state-store-client.ts
@@ -43,7 +43,7 @@
 export type TransactionResult = { ok: true; revision: number } | { ok: false; failedKeys: string[] };
 
 /** The state store's limits, for all controllers together. */
-export interface StateStoreLimits {
+interface StateStoreLimits {
   /** Requests per second. */
   rps: number;
   /** Writes per second. */
--- a/test/elections.test.ts
+++ b/test/elections.test.ts
@@ -1,14 +1,14 @@
-/** Crashes and returns in the middle of elections, with every request possibly late, repeated and out of order. */
+/** Crashes and restarts in the middle of elections, while any request may be delayed, repeated or reordered. */
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
+import { planMembership } from "../src/membership/membership-planner.js";
 import {
   transactionFor,
-  planMembership,
   joinTransaction,
   type ConditionalTransaction,
-} from "../src/membership/membership-planner.js";
+} from "../src/membership/membership-transactions.js";
 import {
   readCluster,
   isSameInstance,
@@ -20,132 +20,162 @@
 
 const NODES = ["a", "b", "c"];
 const SHARDS = NODES.length;
+const SEEDS = 200;
+const STEPS = 150;
 
-interface Running extends ControllerInstance {
-  lease: number;
+interface RunningController extends ControllerInstance {
+  leaseId: number;
 }
 
-class World {
+/** Controllers, the state store, and the requests between them. */
+class ElectionSimulation {
   private readonly random: ReturnType<typeof xoroshiro128plus>;
   private readonly store = new FakeView();
+  /** The keys attached to each lease. */
   private readonly leases = new Map<number, string[]>();
-  /** Requests on their way; a delivered one may stay and come again. */
-  private under: { claim: ConditionalTransaction; by: Running }[] = [];
-  readonly up = new Map<string, Running>();
-  private born = 0;
+  /** Requests in flight; a delivered one may stay and be delivered again. */
+  private inFlight: ConditionalTransaction[] = [];
+  readonly running = new Map<string, RunningController>();
+  private lastLeaseId = 0;
   private revision = 0;
 
   constructor(seed: number) {
     this.random = xoroshiro128plus(seed);
   }
 
-  pick(n: number): number {
-    return uniformInt(this.random, 0, n - 1);
+  /** A random integer from 0 to one less than the bound. */
+  pick(bound: number): number {
+    return uniformInt(this.random, 0, bound - 1);
   }
 
   get cluster(): Cluster {
     return readCluster(this.store, SHARDS);
   }
 
-  /** A process starts, whether or not the service has dropped its old self's hold yet. */
+  /** A process starts, whether or not the lease of its earlier life has ended. */
   start(node: string): void {
-    const lease = ++this.born;
-    this.leases.set(lease, []);
-    const me: Running = { node, incarnation: `${node}.${lease}`, lease };
-    this.up.set(node, me);
-    const known = this.store.get(keys.member(node))?.version ?? 0;
-    this.under.push({ claim: joinTransaction({ node, incarnation: me.incarnation }, lease, known), by: me });
+    const leaseId = ++this.lastLeaseId;
+    this.leases.set(leaseId, []);
+    const controller = { node, incarnation: `${node}.${leaseId}`, leaseId };
+    this.running.set(node, controller);
+    this.join(controller);
   }
 
-  /** The service drops the hold of a process that is gone. */
-  expire(lease: number): void {
-    if ([...this.up.values()].some((p) => p.lease === lease)) return;
-    for (const key of this.leases.get(lease) ?? []) this.store.remove(key, ++this.revision);
-    this.leases.delete(lease);
+  /** The state store ends the lease of a process that is gone. */
+  expire(leaseId: number): void {
+    if ([...this.running.values()].some((controller) => controller.leaseId === leaseId)) return;
+    for (const key of this.leases.get(leaseId) ?? []) this.store.remove(key, ++this.revision);
+    this.leases.delete(leaseId);
   }
 
-  act(me: Running, seen: Cluster): void {
-    const { node, incarnation } = me;
-    const links = { mayLead: true, isCutOffFromWorkers: () => false };
-    const view = {
-      cluster: seen,
+  /** A controller sends what it decides on the cluster that it sees. */
+  act({ node, incarnation, leaseId }: RunningController, cluster: Cluster): void {
+    const self = { node, incarnation };
+    const actions = planMembership({
+      self,
+      cluster,
       controllers: SHARDS,
       leadingForMs: 9999,
       bootstrapGraceMs: 1,
       mayMove: false,
-      ...links,
-    };
-    for (const action of planMembership({ ...view, self: { node, incarnation } }))
-      if (action.kind !== "ask_hand_over")
-        this.under.push({ claim: transactionFor(action, { node, incarnation }, me.lease, seen), by: me });
+      mayLead: true,
+      isCutOffFromWorkers: () => false,
+    });
+    for (const action of actions)
+      if (action.kind !== "request_hand_over")
+        this.inFlight.push(transactionFor(action, self, leaseId, cluster));
   }
 
-  deliver(keep: boolean): void {
-    if (this.under.length === 0) return;
-    const at = this.pick(this.under.length);
-    const { claim } = this.under[at]!;
-    if (!keep) this.under.splice(at, 1);
+  /** The state store executes a random request; it may stay in flight as a copy. */
+  deliver(keepCopy: boolean): void {
+    if (this.inFlight.length === 0) return;
+    const index = this.pick(this.inFlight.length);
+    const { conditions, writes } = this.inFlight[index]!;
+    if (!keepCopy) this.inFlight.splice(index, 1);
     const before = this.cluster;
-    if (claim.conditions.some((g) => (this.store.get(g.key)?.version ?? 0) !== g.version)) return;
-    if (claim.writes.some((w) => "lease" in w && !this.leases.has(w.lease!))) return;
+    if (conditions.some(({ key, version }) => this.versionOf(key) !== version)) return;
+    if (writes.some((write) => "lease" in write && !this.leases.has(write.lease!))) return;
     const version = ++this.revision;
-    for (const write of claim.writes) {
+    for (const write of writes) {
       if (!("put" in write)) continue;
-      for (const attached of this.leases.values()) {
-        const old = attached.indexOf(write.put);
-        if (old >= 0) attached.splice(old, 1);
-      }
-      if (write.lease !== undefined) this.leases.get(write.lease)!.push(write.put);
+      this.attachToLease(write.put, write.lease);
       this.store.put(write.put, write.value, version);
     }
-    this.check(before);
-  }
-
-  /** A live owner that holds its membership loses its shard to nobody. */
-  private check(before: Cluster): void {
-    before.shards.forEach((owner, n) => {
-      if (owner === null || isSameInstance(this.cluster.shards[n], owner)) return;
-      const alive = this.up.get(owner.node);
-      const holds = isSameInstance(alive, owner) && isSameInstance(before.members.get(owner.node), owner);
-      assert.equal(holds, false, `shard ${n} taken from ${owner.incarnation}`);
-    });
+    this.checkNoLiveOwnerLostShard(before);
   }
 
+  /** All leases of former processes end, and all requests arrive, until nothing is left to do. */
   settle(): void {
-    while (this.under.length > 0) this.deliver(false);
+    this.deliverAll();
     for (let round = 0; round < 20; round++) {
-      for (const lease of [...this.leases.keys()]) this.expire(lease);
-      for (const me of this.up.values()) {
-        const entered = this.cluster.members.get(me.node);
-        const known = this.store.get(keys.member(me.node))?.version ?? 0;
-        const process = { node: me.node, incarnation: me.incarnation };
-        if (!isSameInstance(entered, me))
-          this.under.push({ claim: joinTransaction(process, me.lease, known), by: me });
-        else this.act(me, this.cluster);
+      for (const leaseId of [...this.leases.keys()]) this.expire(leaseId);
+      for (const controller of this.running.values()) {
+        if (isSameInstance(this.cluster.members.get(controller.node), controller))
+          this.act(controller, this.cluster);
+        else this.join(controller);
       }
-      while (this.under.length > 0) this.deliver(false);
+      this.deliverAll();
     }
   }
-}
 
-test("whatever comes late or twice, no live owner loses a shard, and all shards come to live owners", () => {
-  for (let seed = 1; seed <= 200; seed++) {
-    const world = new World(seed);
-    for (const node of NODES) world.start(node);
-    let stale = world.cluster;
-    for (let step = 0; step < 150; step++) {
-      const node = NODES[world.pick(NODES.length)]!;
-      const chance = world.pick(10);
-      if (chance === 0) world.start(node);
-      else if (chance === 1) world.expire(1 + world.pick(20));
-      else if (chance === 2) stale = world.cluster;
-      else if (chance < 6) world.act(world.up.get(node)!, chance === 3 ? stale : world.cluster);
-      else world.deliver(world.pick(2) === 0);
+  private deliverAll(): void {
+    while (this.inFlight.length > 0) this.deliver(false);
+  }
+
+  private join({ node, incarnation, leaseId }: RunningController): void {
+    const knownVersion = this.versionOf(keys.member(node));
+    this.inFlight.push(joinTransaction({ node, incarnation }, leaseId, knownVersion));
+  }
+
+  private versionOf(key: string): number {
+    return this.store.get(key)?.version ?? 0;
+  }
+
+  private attachToLease(key: string, leaseId: number | undefined): void {
+    for (const attached of this.leases.values()) {
+      const index = attached.indexOf(key);
+      if (index >= 0) attached.splice(index, 1);
     }
-    world.settle();
-    const { leader, shards } = world.cluster;
-    assert.ok(leader !== null && isSameInstance(world.up.get(leader.node), leader), `leader, seed ${seed}`);
-    for (const owner of shards)
-      assert.ok(owner !== null && isSameInstance(world.up.get(owner.node), owner), `owner, seed ${seed}`);
+    if (leaseId !== undefined) this.leases.get(leaseId)!.push(key);
+  }
+
+  /** A running owner that is a member loses its shard to no other. */
+  private checkNoLiveOwnerLostShard(before: Cluster): void {
+    before.shards.forEach((owner, shard) => {
+      if (owner === null || isSameInstance(this.cluster.shards[shard], owner)) return;
+      const isRunning = isSameInstance(this.running.get(owner.node), owner);
+      const isLiveOwner = isRunning && isSameInstance(before.members.get(owner.node), owner);
+      assert.equal(isLiveOwner, false, `shard ${shard} taken from ${owner.incarnation}`);
+    });
+  }
+}
+
+function runRandomSteps(simulation: ElectionSimulation): void {
+  for (const node of NODES) simulation.start(node);
+  let staleCluster = simulation.cluster;
+  for (let step = 0; step < STEPS; step++) {
+    const node = NODES[simulation.pick(NODES.length)]!;
+    const chance = simulation.pick(10);
+    if (chance === 0) simulation.start(node);
+    else if (chance === 1) simulation.expire(1 + simulation.pick(20));
+    else if (chance === 2) staleCluster = simulation.cluster;
+    else if (chance < 6)
+      simulation.act(simulation.running.get(node)!, chance === 3 ? staleCluster : simulation.cluster);
+    else simulation.deliver(simulation.pick(2) === 0);
   }
+}
+
+void describe("membership: elections", () => {
+  test("with delayed and repeated requests, no live owner loses a shard, and all shards get live owners", () => {
+    for (let seed = 1; seed <= SEEDS; seed++) {
+      const simulation = new ElectionSimulation(seed);
+      runRandomSteps(simulation);
+      simulation.settle();
+      const { leader, shards } = simulation.cluster;
+      const isRunning = (record: ControllerInstance | null): boolean =>
+        record !== null && isSameInstance(simulation.running.get(record.node), record);
+      assert.ok(isRunning(leader), `leader, seed ${seed}`);
+      for (const owner of shards) assert.ok(isRunning(owner), `owner, seed ${seed}`);
+    }
+  });
 });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,31 +1,41 @@
-/** Who leads, who owns what, and how long an owner may go on with what it knows. */
+/** Leadership, the ownership of shards, and how long an owner may keep what it knows. */
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { planMembership, type MembershipView } from "../src/membership/membership-planner.js";
 import { Membership } from "../src/membership/membership.js";
-import { continuesTerm, type ControllerRecord } from "../src/membership/cluster-records.js";
+import type { ControllerRecord } from "../src/membership/cluster-records.js";
+import { continuesTerm } from "../src/membership/token-advances.js";
 import type { StateStoreClient } from "../src/state/state-store-client.js";
 import { StateStoreError } from "../src/state/state-store-error.js";
 import { keys } from "../src/state/keys.js";
 import type { Condition, Write } from "../src/wire/index.js";
 import { FakeView, silent } from "./support/records.js";
 
-const member = (node: string, version: number, incarnation = `${node}.1`): ControllerRecord => ({
+const controllerRecord = (node: string, version: number, incarnation = `${node}.1`): ControllerRecord => ({
   node,
   incarnation,
   version,
+  advanceId: null,
 });
-const [a, b, c] = [member("a", 1), member("b", 2), member("c", 3)];
-
-function view(over: Partial<MembershipView["cluster"]>, rest: Partial<MembershipView> = {}): MembershipView {
-  const members = new Map([a, b, c].map((m) => [m.node, m]));
+const MEMBER_A = controllerRecord("a", 1);
+const MEMBER_B = controllerRecord("b", 2);
+const MEMBER_C = controllerRecord("c", 3);
+
+const membersOf = (...records: ControllerRecord[]): Map<string, ControllerRecord> =>
+  new Map(records.map((record) => [record.node, record]));
+
+/** What node a sees: it leads, all three controllers are up, and each owns one shard, but for what is given. */
+function viewOf(
+  cluster: Partial<MembershipView["cluster"]>,
+  rest: Partial<MembershipView> = {},
+): MembershipView {
   return {
     self: { node: "a", incarnation: "a.1" },
     cluster: {
-      members,
-      leader: member("a", 9),
-      shards: [member("a", 10), member("b", 11), member("c", 12)],
-      ...over,
+      members: membersOf(MEMBER_A, MEMBER_B, MEMBER_C),
+      leader: controllerRecord("a", 9),
+      shards: [controllerRecord("a", 10), controllerRecord("b", 11), controllerRecord("c", 12)],
+      ...cluster,
     },
     controllers: 3,
     leadingForMs: 0,
@@ -37,77 +47,74 @@
   };
 }
 
-test("an even cluster needs nothing", () => {
-  assert.deepEqual(planMembership(view({})), []);
-});
-
-test("a process that came back takes over from its old self at once", () => {
-  const old = member("a", 9, "a.0");
-  const actions = planMembership(view({ leader: old, shards: [member("a", 10, "a.0"), b, c] }));
-  assert.deepEqual(
-    actions.map((x) => x.kind),
-    ["lead", "resume"],
-  );
-});
+void describe("membership/membership-planner", () => {
+  test("a balanced cluster with an owner for every shard needs no action", () => {
+    assert.deepEqual(planMembership(viewOf({})), []);
+  });
 
-test("only a shard whose owner's record is gone is given to another, the one with the fewest", () => {
-  const members = new Map([a, b].map((m) => [m.node, m]));
-  const shards = [member("a", 10), member("c", 11), member("c", 12)];
-  const actions = planMembership(view({ members, shards }));
-  assert.deepEqual(
-    actions.map((x) => (x.kind === "assign" ? `${x.shard} to ${x.to.node}` : x.kind)),
-    ["1 to b", "2 to a"],
-  );
-});
+  test("a restarted process resumes leadership and shards of its earlier life at once", () => {
+    const earlierLeader = controllerRecord("a", 9, "a.0");
+    const shards = [controllerRecord("a", 10, "a.0"), MEMBER_B, MEMBER_C];
+    const actions = planMembership(viewOf({ leader: earlierLeader, shards }));
+    assert.deepEqual(
+      actions.map((action) => action.kind),
+      ["lead", "resume"],
+    );
+  });
 
-test("shards that nobody ever owned wait for the others to come up, but not for ever", () => {
-  const members = new Map([["a", a]]);
-  const fresh = { members, shards: [null, null, null] };
-  assert.deepEqual(planMembership(view(fresh, { leadingForMs: 4999 })), []);
-  assert.equal(planMembership(view(fresh, { leadingForMs: 5000 })).length, 3);
-});
+  test("only a shard whose owner has no member record is assigned, to the member with the fewest shards", () => {
+    const shards = [controllerRecord("a", 10), controllerRecord("c", 11), controllerRecord("c", 12)];
+    const actions = planMembership(viewOf({ members: membersOf(MEMBER_A, MEMBER_B), shards }));
+    assert.deepEqual(
+      actions.map((action) =>
+        action.kind === "assign" ? `${action.shard} to ${action.successor.node}` : action.kind,
+      ),
+      ["1 to b", "2 to a"],
+    );
+  });
 
-test("an uneven cluster is evened out by asking an owner, once a shard period", () => {
-  const uneven = { shards: [member("b", 10), member("b", 11), member("c", 12)] };
-  const [action] = planMembership(view(uneven));
-  assert.deepEqual(action, { kind: "ask_hand_over", shard: 0, owner: "b", to: "a" });
-  assert.deepEqual(planMembership(view(uneven, { mayMove: false })), []);
-});
+  test("shards without any owner so far wait for all controllers to join, at most for the bootstrap grace period", () => {
+    const newCluster = { members: membersOf(MEMBER_A), shards: [null, null, null] };
+    assert.deepEqual(planMembership(viewOf(newCluster, { leadingForMs: 4999 })), []);
+    assert.equal(planMembership(viewOf(newCluster, { leadingForMs: 5000 })).length, 3);
+  });
 
-test("an owner that was cut off and comes to own its shard again starts afresh", () => {
-  // Cut off at version 10, while another owned the shard at 11 and passed it back at 12.
-  assert.equal(continuesTerm(10, { version: 12 }, undefined), false);
-  assert.equal(continuesTerm(10, { version: 12, mark: "m" }, { fromVersion: 11, advanceId: "m" }), false);
-  assert.equal(continuesTerm(10, { version: 11, mark: "m" }, { fromVersion: 10, advanceId: "m" }), true);
-  assert.equal(continuesTerm(10, { version: 10 }, undefined), true);
-  // A raise without an answer was not carried out, and what is there is another's or of another time.
-  assert.equal(continuesTerm(10, { version: 12 }, { fromVersion: 10, advanceId: "m" }), false);
-  assert.equal(continuesTerm(10, { version: 12, mark: "n" }, { fromVersion: 10, advanceId: "m" }), false);
+  test("the leader balances an uneven cluster by requesting one hand-over a shard move period", () => {
+    const uneven = {
+      shards: [controllerRecord("b", 10), controllerRecord("b", 11), controllerRecord("c", 12)],
+    };
+    const [action] = planMembership(viewOf(uneven));
+    assert.deepEqual(action, { kind: "request_hand_over", shard: 0, owner: "b", successor: "a" });
+    assert.deepEqual(planMembership(viewOf(uneven, { mayMove: false })), []);
+  });
 });
 
 const settle = (): Promise<unknown> => new Promise((resolve) => setImmediate(resolve));
 
-interface OwningAll {
+interface SoleOwner {
   membership: Membership;
   store: FakeView;
 }
 
-interface OwningAllOptions {
+interface SoleOwnerOptions {
   clock?: () => number;
-  /** The state service's answers to renewals and to reads of its revision. */
+  /** The state store's answers to renewals and to reads of its revision. */
   answered?: () => Promise<void>;
   renewals?: { count: number };
 }
 
-/** The membership of node a, which owns three shards at the versions 10, 11 and 12 and whose writes are carried out at once. */
-function owningAll(written: (membership: Membership) => void, options: OwningAllOptions = {}): OwningAll {
+/**
+ * The membership of node a, which leads and owns three shards at the versions 10, 11 and 12. Its writes are executed at
+ * once, and `onWritten` is called before they are answered.
+ */
+function soleOwner(onWritten: (membership: Membership) => void, options: SoleOwnerOptions = {}): SoleOwner {
   const { clock = () => 0, answered = () => Promise.resolve(), renewals = { count: 0 } } = options;
   const store = new FakeView();
-  const me = { node: "a", incarnation: "a.1" };
-  store.put(keys.leader, me, 9);
+  const self = { node: "a", incarnation: "a.1" };
+  store.put(keys.leader, self, 9);
   store.put(keys.member("b"), { node: "b", incarnation: "b.1" }, 2);
   store.put(keys.member("c"), { node: "c", incarnation: "c.1" }, 3);
-  [10, 11, 12].forEach((version, n) => store.put(keys.shard(n), me, version));
+  [10, 11, 12].forEach((version, shard) => store.put(keys.shard(shard), self, version));
   let revision = 12;
   const state = {
     grantLease: () => Promise.resolve(1),
@@ -121,95 +128,119 @@
       await answered();
       return revision;
     },
-    compareAndSwap: async (guards: Condition[], writes: Write[]) => {
+    compareAndSwap: async (conditions: Condition[], writes: Write[]) => {
       await settle();
-      const failed = guards.filter(({ key, version }) => (store.get(key)?.version ?? 0) !== version);
+      const failed = conditions.filter(({ key, version }) => (store.get(key)?.version ?? 0) !== version);
       if (failed.length > 0) return { ok: false as const, failedKeys: failed.map(({ key }) => key) };
       revision++;
       for (const write of writes) if ("put" in write) store.put(write.put, write.value, revision);
-      written(membership);
+      onWritten(membership);
       return { ok: true as const, revision };
     },
   };
-  const figures = { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 };
-  const hooks = {
-    onOwnershipChanged: () => undefined,
-    requestHandOver: (_owner: string, shard: number, to: string) =>
-      void membership.tell({ kind: "hand_over", shard, to }),
-    isCutOffFromWorkers: () => false,
-  };
-  const client = state as unknown as StateStoreClient;
-  const membership = new Membership(me, 3, 3, figures, client, store, clock, hooks, silent);
+  const membership = new Membership({
+    self,
+    shards: 3,
+    controllers: 3,
+    timings: { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 },
+    state: state as unknown as StateStoreClient,
+    view: store,
+    clock,
+    callbacks: {
+      onOwnershipChanged: () => undefined,
+      requestHandOver: (_owner, shard, successor) =>
+        void membership.tell({ kind: "hand_over", shard, successor }),
+      isCutOffFromWorkers: () => false,
+    },
+    log: silent,
+  });
   return { membership, store };
 }
 
-// Fails if an unanswered renewal is sent again and again: each is carried out, and the lease never ends for anybody else.
-test("a member whose renewals are carried out and never answered lets its lease end, and renews once there is an answer", async () => {
-  const [LEASE_MS, TICK_MS] = [5000, 400];
-  let now = 0;
-  let heard = true;
-  const lost = new StateStoreError("timed out", { outcome: "unknown" });
-  const renewals = { count: 0 };
-  const answered = (): Promise<void> => (heard ? Promise.resolve() : Promise.reject(lost));
-  const { membership, store } = owningAll(() => undefined, { clock: () => now, answered, renewals });
-  const pass = async (ms: number): Promise<number> => {
-    const before = renewals.count;
-    for (const until = now + ms; now < until; now += TICK_MS) {
-      membership.tell({ kind: "tick" });
-      await settle();
-      await settle();
-    }
-    return renewals.count - before;
-  };
-  assert.ok((await pass(2 * LEASE_MS)) >= 8, "it renews while it is answered");
-  heard = false;
-  await pass(LEASE_MS);
-  assert.equal(await pass(4 * LEASE_MS), 0, "nothing extends a lease that it cannot prove");
-  heard = true;
-  assert.ok((await pass(LEASE_MS)) >= 3, "it renews again");
-  store.completeAsOf = now;
-  assert.notEqual(membership.token(0), null, "and it may act again");
-});
-
-test("a leader that owns every shard passes one on, although it asks itself while it acts", async () => {
-  const { membership } = owningAll(() => undefined);
-  for (let i = 0; i < 3; i++) {
-    membership.tell({ kind: "tick" });
-    await settle();
-    await settle();
-    membership.tell({ kind: "records_changed" });
-  }
-  const owners = membership.cluster.shards.map((s) => s?.node);
-  assert.deepEqual(owners.sort(), ["a", "a", "b"]);
-});
-
-test("an owner goes on with a shard whose advanced token the feed shows before the write is answered", async () => {
-  const advanced = 14;
-  const went: (boolean | number)[] = [];
-  const { membership, store } = owningAll((of) => {
-    if (store.get(keys.shard(0))?.version !== advanced) return;
-    of.tell({ kind: "records_changed" });
-    went.push(of.continuesTerm(0, 10), of.continuesTerm(1, 11), of.token(0) ?? 0);
-  });
+async function tick(membership: Membership): Promise<void> {
   membership.tell({ kind: "tick" });
   await settle();
   await settle();
-  membership.tell({ kind: "advance_token", shard: 0 });
+}
+
+async function advanceToken(membership: Membership, shard: number): Promise<void> {
+  membership.tell({ kind: "advance_token", shard });
   await settle();
   await settle();
-  assert.deepEqual(went, [true, true, advanced]);
+}
+
+void describe("membership/membership-lease", () => {
+  // Fails if an unanswered renewal is sent again and again: each is executed, and the lease never ends for the others.
+  test("a member whose renewals are executed but never answered lets its lease end, and renews once it gets an answer", async () => {
+    const [LEASE_MS, TICK_MS] = [5000, 400];
+    let now = 0;
+    let answersArrive = true;
+    const unanswered = new StateStoreError("timed out", { outcome: "unknown" });
+    const renewals = { count: 0 };
+    const answered = (): Promise<void> => (answersArrive ? Promise.resolve() : Promise.reject(unanswered));
+    const { membership, store } = soleOwner(() => undefined, { clock: () => now, answered, renewals });
+    const renewalsWithin = async (ms: number): Promise<number> => {
+      const countBefore = renewals.count;
+      for (const end = now + ms; now < end; now += TICK_MS) await tick(membership);
+      return renewals.count - countBefore;
+    };
+    assert.ok((await renewalsWithin(2 * LEASE_MS)) >= 8, "it renews while it is answered");
+    answersArrive = false;
+    await renewalsWithin(LEASE_MS);
+    assert.equal(await renewalsWithin(4 * LEASE_MS), 0, "nothing extends a lease that it cannot prove");
+    answersArrive = true;
+    assert.ok((await renewalsWithin(LEASE_MS)) >= 3, "it renews again");
+    store.completeAsOf = now;
+    assert.notEqual(membership.token(0), null, "and it may act again");
+  });
 });
 
-test("an owner goes on with a shard whose token it tried to advance once more before the feed showed the first try", async () => {
-  const { membership } = owningAll(() => undefined);
-  membership.tell({ kind: "tick" });
-  await settle();
-  await settle();
-  for (let i = 0; i < 2; i++) {
-    membership.tell({ kind: "advance_token", shard: 0 });
-    await settle();
-    await settle();
-  }
-  membership.tell({ kind: "records_changed" });
-  assert.equal(membership.continuesTerm(0, 10), true);
+void describe("membership/shard-hand-over", () => {
+  test("a leader that owns every shard hands one over, although its request comes while it carries out actions", async () => {
+    const { membership } = soleOwner(() => undefined);
+    for (let i = 0; i < 3; i++) {
+      await tick(membership);
+      membership.tell({ kind: "records_changed" });
+    }
+    const owners = membership.cluster.shards.map((record) => record?.node);
+    assert.deepEqual(owners.sort(), ["a", "a", "b"]);
+  });
+});
+
+void describe("membership/token-advances", () => {
+  test("an owner that was cut off and owns its shard again starts a new term", () => {
+    const advance = { fromVersion: 10, advanceId: "own" };
+    // Cut off at version 10, while another owned the shard at 11 and handed it back at 12.
+    assert.equal(continuesTerm(10, { version: 12, advanceId: null }, undefined), false);
+    assert.equal(
+      continuesTerm(10, { version: 12, advanceId: "own" }, { fromVersion: 11, advanceId: "own" }),
+      false,
+    );
+    assert.equal(continuesTerm(10, { version: 11, advanceId: "own" }, advance), true);
+    assert.equal(continuesTerm(10, { version: 10, advanceId: null }, undefined), true);
+    // The unanswered advance was not executed: the record is another's or of another time.
+    assert.equal(continuesTerm(10, { version: 12, advanceId: null }, advance), false);
+    assert.equal(continuesTerm(10, { version: 12, advanceId: "other" }, advance), false);
+  });
+
+  test("an owner keeps a shard whose advanced token the watch shows before the write is answered", async () => {
+    const advancedToken = 14;
+    const observed: (boolean | number)[] = [];
+    const { membership, store } = soleOwner((owner) => {
+      if (store.get(keys.shard(0))?.version !== advancedToken) return;
+      owner.tell({ kind: "records_changed" });
+      observed.push(owner.continuesTerm(0, 10), owner.continuesTerm(1, 11), owner.token(0) ?? 0);
+    });
+    await tick(membership);
+    await advanceToken(membership, 0);
+    assert.deepEqual(observed, [true, true, advancedToken]);
+  });
+
+  test("an owner keeps a shard whose token it advances again before the watch shows the first advance", async () => {
+    const { membership } = soleOwner(() => undefined);
+    await tick(membership);
+    for (let i = 0; i < 2; i++) await advanceToken(membership, 0);
+    membership.tell({ kind: "records_changed" });
+    assert.equal(membership.continuesTerm(0, 10), true);
+  });
 });
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -55,7 +55,7 @@
 
 const isLive = (job: string): boolean => job === "live";
 
-test("the right to act ends with the lease, the age of the records, the entry and the shard's record", () => {
+test("the authority for a shard ends with the lease, the age of the replica, the join and the shard's record", () => {
   const evidence = {
     token: 7,
     handingOver: false,
@@ -65,8 +65,8 @@
     staleMs: STALE_MS,
   };
   assert.equal(decideShardAuthority(evidence).held, true);
-  const reasonOf = (over: Partial<typeof evidence> | { token: null }): string => {
-    const authority = decideShardAuthority({ ...evidence, ...over });
+  const reasonOf = (overrides: Partial<typeof evidence> | { token: null }): string => {
+    const authority = decideShardAuthority({ ...evidence, ...overrides });
     return authority.held ? "held" : authority.reason;
   };
   assert.equal(reasonOf({ token: null }), "not_owner");
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -53,7 +53,7 @@
 });
 
 void describe("membership/records", () => {
-  test("members, the leader and owners are read, with the mark of a token that an owner advanced", () => {
+  test("members, the leader and owners are read, with the id of the advance of a token", () => {
     const [member] = valuesOf("membership", "fernpond/live/members/node-a");
     const [leader] = valuesOf("membership", "fernpond/live/leader");
     const [, advanced] = valuesOf("membership", "fernpond/live/shards/0");
@@ -63,11 +63,11 @@
       ["fernpond/live/shards/0", advanced],
     ]);
     const me = { node: "node-a", incarnation: "a.1" };
-    const mark = "00000000-0000-4000-8000-000000000001";
+    const advanceId = "00000000-0000-4000-8000-000000000001";
     assert.deepEqual(readCluster(view, 2), {
-      members: new Map([["node-a", { ...me, version: 1 }]]),
-      leader: { ...me, version: 2 },
-      shards: [{ ...me, mark, version: 3 }, null],
+      members: new Map([["node-a", { ...me, advanceId: null, version: 1 }]]),
+      leader: { ...me, advanceId: null, version: 2 },
+      shards: [{ ...me, advanceId, version: 3 }, null],
     });
   });
 });
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -7,7 +7,7 @@
 import { JobService } from "../../src/jobs/job-service.js";
 import { CHUNK_TASKS } from "../../src/jobs/bitmap.js";
 import { ShardAssignment } from "../../src/jobs/shard-assignment.js";
-import { joinTransaction } from "../../src/membership/membership-planner.js";
+import { joinTransaction } from "../../src/membership/membership-transactions.js";
 import { Membership } from "../../src/membership/membership.js";
 import type { ShardSummary } from "../../src/peers/messages.js";
 import { CompletionLog, type Completion } from "../../src/shards/completion-log.js";
@@ -94,21 +94,21 @@
 
 /** A controller enters, leads, assigns shards, advances a token, hands the shard over and resigns. */
 async function membershipRecords(state: RecordingState): Promise<void> {
-  const { conditions: guards, writes } = joinTransaction(
+  const { conditions, writes } = joinTransaction(
     { node: "node-b", incarnation: "b.1" },
     await state.client.grantLease(60_000),
     0,
   );
-  await state.client.compareAndSwap(guards, writes, "ownership");
-  const figures = { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 };
-  const hooks = {
+  await state.client.compareAndSwap(conditions, writes, "ownership");
+  const timings = { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 };
+  const callbacks = {
     onOwnershipChanged: () => undefined,
     requestHandOver: () => undefined,
     isCutOffFromWorkers: () => false,
   };
-  const me = { node: "node-a", incarnation: "a.1" };
-  const { client, view } = state;
-  const membership = new Membership(me, SHARDS, SHARDS, figures, client, view, () => 0, hooks, silent);
+  const cluster = { self: { node: "node-a", incarnation: "a.1" }, shards: SHARDS, controllers: SHARDS };
+  const services = { state: state.client, view: state.view, clock: () => 0, log: silent };
+  const membership = new Membership({ ...cluster, ...services, timings, callbacks });
   const messages = [
     { kind: "tick" },
     { kind: "records_changed" },
@@ -116,7 +116,7 @@
     { kind: "records_changed" },
     { kind: "advance_token", shard: 0 },
     { kind: "records_changed" },
-    { kind: "hand_over", shard: 0, to: "node-b" },
+    { kind: "hand_over", shard: 0, successor: "node-b" },
     { kind: "records_changed" },
     { kind: "resign" },
   ] as const;
