--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -3,7 +3,8 @@
  * most one call to the cloud. An order is recorded before it is sent, and its machines before they count.
  */
 import * as z from "zod";
-import { CloudError, type CloudClient } from "../cloud/cloud-client.js";
+import type { CloudClient } from "../cloud/cloud-client.js";
+import { CloudError } from "../cloud/cloud-error.js";
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
 import type { PeerReply, PeerRequest, ShardSummary } from "../peers/messages.js";
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -19,7 +19,7 @@
 import { ShardHost } from "./shard-host.js";
 import { LinkMonitoring } from "./link-monitoring.js";
 import type { SteadyClock } from "../runtime/clock.js";
-import { parseJson } from "../runtime/json-client.js";
+import { parseJson } from "../runtime/http-body.js";
 import type { Logger } from "../runtime/log.js";
 import { HeartbeatRouter } from "./heartbeat-router.js";
 import { SummaryExchange } from "./summary-exchange.js";
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -5,7 +5,7 @@
 import type { Membership } from "../membership/membership.js";
 import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/messages.js";
 import type { ShardOwner } from "../shards/shard-owner.js";
-import { parseJson } from "../runtime/json-client.js";
+import { parseJson } from "../runtime/http-body.js";
 
 /** The answer where there is nothing to say. */
 export const EMPTY_REPLY: PeerReply = { accepted: { hosts: [] } };
--- a/src/http/app.ts
+++ b/src/http/app.ts
@@ -1,6 +1,6 @@
 /** The interface for users, workers and health checks. */
 import Koa, { type Context } from "koa";
-import { BodyTooLargeError, parseJson, readText } from "../runtime/json-client.js";
+import { BodyTooLargeError, parseJson, readBodyText } from "../runtime/http-body.js";
 import { restrictionLines, statusRows, type LinkStatus } from "../links/status.js";
 import type { DecisionReport } from "../shards/decision-metrics.js";
 import { MAX_BODY_BYTES, paths } from "../wire/index.js";
@@ -99,7 +99,7 @@
 /** The body's text; undefined where it is too long. */
 async function readBody(ctx: Context): Promise<string | undefined> {
   try {
-    return await readText(ctx.req, MAX_BODY_BYTES);
+    return await readBodyText(ctx.req, MAX_BODY_BYTES);
   } catch (err) {
     if (!(err instanceof BodyTooLargeError)) throw err;
     ctx.set("Connection", "close");
--- a/src/http/heartbeats.ts
+++ b/src/http/heartbeats.ts
@@ -1,5 +1,5 @@
 /** Answers the text of a worker's report, however it came. */
-import { parseJson } from "../runtime/json-client.js";
+import { parseJson } from "../runtime/http-body.js";
 import type { Logger } from "../runtime/log.js";
 import { parseHeartbeat, redirectToWire, type Heartbeat } from "../wire/index.js";
 
--- a/src/runtime/actor.ts
+++ b/src/runtime/actor.ts
@@ -1,37 +1,41 @@
 /**
- * An actor: it owns its state, and the only way in is a message. It is a Writable stream in object mode, so
- * feeds can be piped into it and a sender can see from `writableNeedDrain` that it is behind.
+ * An actor: it owns its state, and the only way in is a message. It is a Writable stream in object mode, so that streams
+ * can be piped into it and a sender can see from `writableNeedDrain` that it is behind.
  */
 import { Writable } from "node:stream";
 import type { Logger } from "pino";
 
-/** The base of all actors: a mailbox, and one message at a time. */
-export abstract class Actor<M> extends Writable {
+/** The most messages that wait in a mailbox before senders should hold back. */
+const MAILBOX_SIZE = 1024;
+
+/** The base of all actors: a mailbox, from which one message is received at a time. */
+export abstract class Actor<Message> extends Writable {
   constructor(
     protected readonly log: Logger,
-    mailbox = 1024,
+    mailboxSize = MAILBOX_SIZE,
   ) {
-    super({ objectMode: true, highWaterMark: mailbox });
+    super({ objectMode: true, highWaterMark: mailboxSize });
   }
 
-  /** Leaves a message. False means that the mailbox is over its mark, and the sender should hold back. */
-  tell(message: M): boolean {
+  /** Puts a message into the mailbox. False means that the mailbox is full, and that the sender should hold back. */
+  tell(message: Message): boolean {
     return this.write(message);
   }
 
-  /** Leaves a message that carries a callback, and waits for what the actor passes to it. */
-  ask<R>(build: (reply: (result: R) => void) => M): Promise<R> {
-    return new Promise((resolve) => this.tell(build(resolve)));
+  /** Sends a message that carries a reply callback, and resolves to what the actor passes to it. */
+  ask<Reply>(buildMessage: (reply: (result: Reply) => void) => Message): Promise<Reply> {
+    return new Promise((resolve) => this.tell(buildMessage(resolve)));
   }
 
-  protected abstract receive(message: M): void;
+  /** Handles one message. */
+  protected abstract receive(message: Message): void;
 
-  override _write(message: M, _encoding: string, done: () => void): void {
+  override _write(message: Message, _encoding: string, done: () => void): void {
     try {
       this.receive(message);
     } catch (err) {
-      // One bad message must not end the actor: what it owns is still right, since decisions are made on copies
-      // or checked before they change anything.
+      // One bad message must not end the actor: its state is still right, since decisions are made on copies or checked
+      // before they change anything.
       this.log.error({ err }, "message failed");
     }
     done();
--- a/src/runtime/json-client.ts
+++ b/src/runtime/json-client.ts
@@ -1,28 +1,46 @@
-/** JSON over HTTP/1.1 with kept connections, a deadline on every call, and a bound on what is read. */
-import { Agent, request, type IncomingMessage } from "node:http";
+/** A client for JSON over HTTP/1.1: connections are kept, every call has a timeout, and the size of answers is limited. */
+import { Agent, request, type RequestOptions } from "node:http";
+import { parseJson, readBodyText } from "./http-body.js";
 
 /** The status and the parsed body of an answer. */
 export interface JsonResponse {
   status: number;
+  /** Undefined if the body is not JSON. */
   body: unknown;
 }
 
-/** No usable answer came. The request may have been executed, or may still be. */
-export class NoResponseError extends Error {}
+/** No usable answer came: the request may have been executed, or may yet be. */
+export class NoResponseError extends Error {
+  override readonly name = "NoResponseError";
 
-/** JSON calls to one service, over whatever network. */
+  constructor(
+    readonly method: string,
+    readonly path: string,
+    reason: string,
+    options?: ErrorOptions,
+  ) {
+    super(`${method} ${path}: ${reason}`, options);
+  }
+}
+
+/** JSON calls to one service. */
 export interface JsonClient {
+  /**
+   * Sends a request; a body of undefined is not sent.
+   * @throws NoResponseError if no complete answer comes within the timeout
+   */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse>;
 }
 
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-/** JSON calls to one address over kept connections. */
+/** JSON calls to one address over connections that are kept. */
 export class HttpJsonClient implements JsonClient {
   private readonly agent: Agent;
   private readonly host: string;
   private readonly port: number;
 
+  /** @param sockets the most connections at once; further calls wait for one */
   constructor(address: string, sockets: number) {
     const colon = address.lastIndexOf(":");
     this.host = address.slice(0, colon);
@@ -33,73 +51,38 @@
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
     return new Promise((resolve, reject) => {
       const payload = body === undefined ? undefined : Buffer.from(JSON.stringify(body));
-      const outgoing = request({
-        agent: this.agent,
-        host: this.host,
-        port: this.port,
-        method,
-        path,
-        headers:
-          payload === undefined
-            ? {}
-            : { "content-type": "application/json", "content-length": payload.byteLength },
-      });
-      const fail = (reason: string): void => {
+      const outgoing = request(this.requestOptions(method, path, payload));
+      const fail = (reason: string, options?: ErrorOptions): void => {
         clearTimeout(timer);
         outgoing.destroy();
-        reject(new NoResponseError(`${method} ${path}: ${reason}`));
+        reject(new NoResponseError(method, path, reason, options));
       };
       const timer = setTimeout(() => {
         fail("timed out");
       }, timeoutMs);
       outgoing.on("error", (err) => {
-        fail(err.message);
+        fail(err.message, { cause: err });
       });
-      outgoing.on("response", (answer) => {
-        readText(answer, MAX_RESPONSE_BYTES).then(
+      outgoing.on("response", (response) => {
+        readBodyText(response, MAX_RESPONSE_BYTES).then(
           (text) => {
             clearTimeout(timer);
-            resolve({ status: answer.statusCode ?? 0, body: parseJson(text) });
+            resolve({ status: response.statusCode ?? 0, body: parseJson(text) });
           },
           (err: unknown) => {
-            fail((err as Error).message);
+            fail((err as Error).message, { cause: err });
           },
         );
       });
       outgoing.end(payload);
     });
   }
-}
-
-/** A body is longer than allowed. */
-export class BodyTooLargeError extends Error {}
-
-/** By events: an async iterator over each small body costs more than all else that is done with it. */
-export function readText(stream: IncomingMessage, limit: number): Promise<string> {
-  return new Promise((resolve, reject) => {
-    const chunks: Buffer[] = [];
-    let size = 0;
-    stream.on("data", (chunk: Buffer) => {
-      size += chunk.byteLength;
-      if (size <= limit) return void chunks.push(chunk);
-      stream.pause();
-      reject(new BodyTooLargeError(`body over ${limit} bytes`));
-    });
-    stream.once("end", () => {
-      resolve(Buffer.concat(chunks).toString("utf8"));
-    });
-    stream.once("error", reject);
-    stream.once("close", () => {
-      reject(new Error("the connection ended within a body"));
-    });
-  });
-}
 
-/** The parsed text, or undefined where it is no JSON. */
-export function parseJson(text: string): unknown {
-  try {
-    return JSON.parse(text);
-  } catch {
-    return undefined;
+  private requestOptions(method: string, path: string, payload: Buffer | undefined): RequestOptions {
+    const headers =
+      payload === undefined
+        ? {}
+        : { "content-type": "application/json", "content-length": payload.byteLength };
+    return { agent: this.agent, host: this.host, port: this.port, method, path, headers };
   }
 }
--- a/src/runtime/log.ts
+++ b/src/runtime/log.ts
@@ -1,14 +1,15 @@
-/** JSON lines on standard error, in the amount that LOG_LEVEL gives. */
+/** The process's log: JSON lines on standard error, from the level that the environment variable LOG_LEVEL names. */
 import { pino, type Logger } from "pino";
 
 export type { Logger };
 
 const LEVELS = ["error", "info", "debug"];
+const DEFAULT_LEVEL = "info";
 
-/** The process's logger; LOG_LEVEL sets its level. */
-export function createLogger(name: string): Logger {
-  const wanted = process.env.LOG_LEVEL ?? "info";
-  const level = LEVELS.includes(wanted) ? wanted : "info";
-  // Synchronous, so that a process that is killed has already said what it did.
-  return pino({ level, base: { node: name } }, pino.destination({ dest: 2, sync: true }));
+/** Makes the process's logger; every line has the name of the node. */
+export function createLogger(node: string): Logger {
+  const requested = process.env.LOG_LEVEL ?? DEFAULT_LEVEL;
+  const level = LEVELS.includes(requested) ? requested : DEFAULT_LEVEL;
+  // Synchronous, so that a process that is killed has already written what it did.
+  return pino({ level, base: { node } }, pino.destination({ dest: 2, sync: true }));
 }
--- a/src/runtime/rate-limiter.ts
+++ b/src/runtime/rate-limiter.ts
@@ -1,56 +1,78 @@
 /**
- * A rate for several kinds of work: a token bucket with a rank for each kind. Higher ranks go first and lower
- * ones leave a part of the bucket to them, so that none is kept waiting by what matters less. whoever would wait past
- * its queue timeout is told at once.
+ * A rate limit for requests of several priorities: a token bucket with a queue for each priority. Higher priorities go
+ * first, and lower ones leave a reserve of the bucket to them, so that no request waits for less important ones. A request
+ * that would wait past its queue timeout is refused at once.
  */
 import type { SteadyClock } from "./clock.js";
 
-interface Waiting {
+/** Fewer missing tokens than this are a rounding error. */
+const TOKEN_EPSILON = 1e-6;
+
+/** A priority, and the part of the burst, from 0 to 1, that its requests leave to those of higher priorities. */
+export interface PriorityReserve<Priority extends string> {
+  readonly priority: Priority;
+  readonly reserve: number;
+}
+
+interface QueuedRequest {
+  /** In tokens. */
   cost: number;
-  go(): void;
+  admit(): void;
+}
+
+interface PriorityQueue<Priority extends string> {
+  priority: Priority;
+  /** How many tokens its requests leave in the bucket. */
+  reservedTokens: number;
+  requests: QueuedRequest[];
 }
 
-/** A token bucket with priorities and queue timeouts. */
-export class RateLimiter<R extends string> {
-  private level: number;
-  private updatedAt: number;
-  private readonly queues: { rank: R; reserve: number; waiting: Waiting[] }[];
+/** A token bucket with priorities and queue timeouts: it is full at first. */
+export class RateLimiter<Priority extends string> {
+  private tokens: number;
+  private refilledAt: number;
+  /** From the highest priority to the lowest. */
+  private readonly queues: PriorityQueue<Priority>[];
   private timer: NodeJS.Timeout | null = null;
 
   constructor(
-    private perSecond: number,
+    private tokensPerSecond: number,
+    /** The most tokens that the bucket holds. */
     private readonly burst: number,
     private readonly clock: SteadyClock,
-    /** From the highest rank down: the part of the burst that each leaves to those above. */
-    reserves: [R, number][],
+    /** From the highest priority to the lowest. */
+    reserves: readonly PriorityReserve<Priority>[],
   ) {
-    this.level = burst;
-    this.updatedAt = clock();
-    this.queues = reserves.map(([rank, part]) => ({ rank, reserve: part * burst, waiting: [] }));
+    this.tokens = burst;
+    this.refilledAt = clock();
+    this.queues = reserves.map(({ priority, reserve }) => ({
+      priority,
+      reservedTokens: reserve * burst,
+      requests: [],
+    }));
   }
 
-  set rate(perSecond: number) {
+  /** The rate at which the bucket is filled, in tokens per second; requests in the queues keep their timers. */
+  set rate(tokensPerSecond: number) {
     this.refill();
-    this.perSecond = perSecond;
+    this.tokensPerSecond = tokensPerSecond;
   }
 
   get rate(): number {
-    return this.perSecond;
+    return this.tokensPerSecond;
   }
 
-  /** False, at once, where it would take longer than the queue timeout. */
-  acquire(cost: number, rank: R, queueTimeoutMs = Infinity): Promise<boolean> {
+  /** Waits for so many tokens and takes them; false, at once, if that would take longer than the queue timeout. */
+  acquire(cost: number, priority: Priority, queueTimeoutMs = Infinity): Promise<boolean> {
     this.refill();
-    const own = this.queues.findIndex((q) => q.rank === rank);
-    const queue = this.queues[own]!;
-    let ahead = 0;
-    for (const { waiting } of this.queues.slice(0, own + 1)) for (const w of waiting) ahead += w.cost;
-    const missing = ahead + this.needed(cost, queue.reserve) - this.level;
-    if ((missing / this.perSecond) * 1000 > queueTimeoutMs) return Promise.resolve(false);
+    const index = this.queues.findIndex((candidate) => candidate.priority === priority);
+    const queue = this.queues[index]!;
+    const missing = this.queuedCost(index) + this.requiredTokens(cost, queue) - this.tokens;
+    if (this.refillTimeMs(missing) > queueTimeoutMs) return Promise.resolve(false);
     return new Promise((resolve) => {
-      queue.waiting.push({
+      queue.requests.push({
         cost,
-        go: () => {
+        admit: () => {
           resolve(true);
         },
       });
@@ -58,29 +80,43 @@
     });
   }
 
-  /** A call that costs more than the bucket holds goes out when it is full, and later ones wait for it. */
-  private needed(cost: number, reserve: number): number {
-    return Math.min(cost + reserve, this.burst);
+  /** The cost of all requests that go before a new one of the queue with this index. */
+  private queuedCost(lastIndex: number): number {
+    let cost = 0;
+    for (const { requests } of this.queues.slice(0, lastIndex + 1))
+      for (const queued of requests) cost += queued.cost;
+    return cost;
+  }
+
+  /** A request that costs more than the bucket holds is admitted when the bucket is full, and later ones wait for it. */
+  private requiredTokens(cost: number, { reservedTokens }: PriorityQueue<Priority>): number {
+    return Math.min(cost + reservedTokens, this.burst);
+  }
+
+  private refillTimeMs(tokens: number): number {
+    return (tokens / this.tokensPerSecond) * 1000;
   }
 
+  /** Admits requests as long as there are tokens, and sets the timer for the next one. */
   private drain(): void {
     this.refill();
-    for (const { reserve, waiting } of this.queues) {
-      for (let next = waiting[0]; next !== undefined; next = waiting[0]) {
-        const missing = this.needed(next.cost, reserve) - this.level;
-        // Guards against waking for a remainder too small to be measured.
-        if (missing > 1e-6) {
-          this.wakeIn((missing / this.perSecond) * 1000);
+    for (const queue of this.queues) {
+      const { requests } = queue;
+      for (let next = requests[0]; next !== undefined; next = requests[0]) {
+        const missing = this.requiredTokens(next.cost, queue) - this.tokens;
+        // Guards against a timer for a remainder that is too small to be measured.
+        if (missing > TOKEN_EPSILON) {
+          this.drainAfter(this.refillTimeMs(missing));
           return;
         }
-        waiting.shift();
-        this.level -= next.cost;
-        next.go();
+        requests.shift();
+        this.tokens -= next.cost;
+        next.admit();
       }
     }
   }
 
-  private wakeIn(ms: number): void {
+  private drainAfter(ms: number): void {
     if (this.timer !== null) clearTimeout(this.timer);
     this.timer = setTimeout(() => {
       this.timer = null;
@@ -90,7 +126,8 @@
 
   private refill(): void {
     const now = this.clock();
-    this.level = Math.min(this.burst, this.level + ((now - this.updatedAt) / 1000) * this.perSecond);
-    this.updatedAt = now;
+    const elapsedS = (now - this.refilledAt) / 1000;
+    this.tokens = Math.min(this.burst, this.tokens + elapsedS * this.tokensPerSecond);
+    this.refilledAt = now;
   }
 }
--- a/src/runtime/token-bucket.ts
+++ b/src/runtime/token-bucket.ts
@@ -1,31 +1,33 @@
-/** A token bucket for calls that are left out, and not kept waiting, when there is no room for them. */
+/** A token bucket for calls that are skipped, rather than queued, while the rate is used up. */
 import type { SteadyClock } from "./clock.js";
 
-/** A token bucket that never makes anybody wait. */
+/** A token bucket without a queue: it is full at first. */
 export class TokenBucket {
-  private level: number;
-  private updatedAt: number;
+  private tokens: number;
+  private refilledAt: number;
 
   constructor(
-    private readonly perSecond: number,
+    private readonly tokensPerSecond: number,
+    /** The most tokens that the bucket holds. */
     private readonly burst: number,
     private readonly clock: SteadyClock,
   ) {
-    this.level = burst;
-    this.updatedAt = clock();
+    this.tokens = burst;
+    this.refilledAt = clock();
   }
 
-  /** Takes `cost` only if that needs no waiting. */
+  /** Takes so many tokens if the bucket holds them; otherwise takes none and returns false. */
   tryAcquire(cost: number): boolean {
     this.refill();
-    if (this.level < cost) return false;
-    this.level -= cost;
+    if (this.tokens < cost) return false;
+    this.tokens -= cost;
     return true;
   }
 
   private refill(): void {
     const now = this.clock();
-    this.level = Math.min(this.burst, this.level + ((now - this.updatedAt) / 1000) * this.perSecond);
-    this.updatedAt = now;
+    const elapsedS = (now - this.refilledAt) / 1000;
+    this.tokens = Math.min(this.burst, this.tokens + elapsedS * this.tokensPerSecond);
+    this.refilledAt = now;
   }
 }
--- a/src/state/shared-write-rate.ts
+++ b/src/state/shared-write-rate.ts
@@ -3,7 +3,7 @@
  * coordination: each controller sees everybody's writes in the watch and uses what the others leave.
  */
 import type { SteadyClock } from "../runtime/clock.js";
-import { RateLimiter } from "../runtime/rate-limiter.js";
+import { RateLimiter, type PriorityReserve } from "../runtime/rate-limiter.js";
 
 /**
  * The priority of a write, from the highest to the lowest: leases, ownership and commands; what users wait for; ended
@@ -11,12 +11,12 @@
  */
 export type WritePriority = "ownership" | "user" | "result" | "note";
 
-/** The part of the burst, from 0 to 1, that each priority leaves to those above it. */
-const BURST_RESERVES: [WritePriority, number][] = [
-  ["ownership", 0],
-  ["user", 0.1],
-  ["result", 0.25],
-  ["note", 0.4],
+/** The part of the burst that each priority leaves to those above it. */
+const BURST_RESERVES: readonly PriorityReserve<WritePriority>[] = [
+  { priority: "ownership", reserve: 0 },
+  { priority: "user", reserve: 0.1 },
+  { priority: "result", reserve: 0.25 },
+  { priority: "note", reserve: 0.4 },
 ];
 
 /** A controller may always use this part of an equal share, whatever the others seem to use. */
--- a/src/state/state-store-connection.ts
+++ b/src/state/state-store-connection.ts
@@ -43,7 +43,9 @@
 
   constructor(private readonly options: StateStoreConnectionOptions) {
     const { requestsPerSecond, clock } = options;
-    this.requestRate = new RateLimiter(requestsPerSecond, requestsPerSecond, clock, [["request", 0]]);
+    this.requestRate = new RateLimiter(requestsPerSecond, requestsPerSecond, clock, [
+      { priority: "request", reserve: 0 },
+    ]);
   }
 
   /**
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -19,9 +19,9 @@
     mock.timers.enable({ apis: ["setTimeout"] });
     try {
       const limiter = new RateLimiter(10, 10, () => now, [
-        ["ownership", 0],
-        ["user", 0.1],
-        ["note", 0.4],
+        { priority: "ownership", reserve: 0 },
+        { priority: "user", reserve: 0.1 },
+        { priority: "note", reserve: 0.4 },
       ]);
       const outcomes: string[] = [];
       const acquire = async (
--- a/test/support/simulation.ts
+++ b/test/support/simulation.ts
@@ -315,7 +315,7 @@
             return { status, body: copied(said) };
           },
           timeoutMs,
-          () => new NoResponseError(`${method} ${path}: timed out`),
+          () => new NoResponseError(method, path, "timed out"),
         ),
     };
   }
