--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -3,14 +3,16 @@
  * most one call to the cloud. An order is recorded before it is sent, and its machines before they count.
  */
 import * as z from "zod";
-import { CloudError, type CloudClient } from "../cloud/cloud-client.js";
+import type { CloudClient } from "../cloud/cloud-client.js";
+import { CloudError } from "../cloud/cloud-error.js";
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
 import type { PeerReply, PeerRequest, ShardSummary } from "../peers/messages.js";
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
-import { StateStoreError, type StateStoreClient } from "../state/state-store-client.js";
+import type { StateStoreClient } from "../state/state-store-client.js";
+import { StateStoreError } from "../state/state-store-error.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import {
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -19,7 +19,7 @@
 import { ShardHost } from "./shard-host.js";
 import { LinkMonitoring } from "./link-monitoring.js";
 import type { SteadyClock } from "../runtime/clock.js";
-import { parseJson } from "../runtime/json-client.js";
+import { parseJson } from "../runtime/http-body.js";
 import type { Logger } from "../runtime/log.js";
 import { HeartbeatRouter } from "./heartbeat-router.js";
 import { SummaryExchange } from "./summary-exchange.js";
@@ -81,14 +81,14 @@
     this.peers = around.peers;
     this.fleet = new Fleet(log);
     this.shardAssignment = new ShardAssignment(settings.teams, settings.controllers);
-    this.state = new StateStoreClient(
-      around.state,
-      around.watches,
-      settings.state,
-      settings.controllers,
+    this.state = new StateStoreClient({
+      http: around.state,
+      watchHttp: around.watches,
+      limits: settings.state,
+      controllers: settings.controllers,
       clock,
-      figures.callMs,
-    );
+      timeoutMs: figures.callMs,
+    });
     const cloud = new CloudClient(
       around.cloud,
       settings.cloud.rps,
@@ -111,15 +111,16 @@
   }
 
   private makeMembership(): Membership {
-    return new Membership(
-      { node: this.settings.node, incarnation: this.incarnation },
-      this.settings.controllers,
-      this.settings.controllers,
-      this.timings,
-      this.state,
-      this.replica,
-      this.clock,
-      {
+    return new Membership({
+      self: { node: this.settings.node, incarnation: this.incarnation },
+      // There are as many shards as controllers.
+      shards: this.settings.controllers,
+      controllers: this.settings.controllers,
+      timings: this.timings,
+      state: this.state,
+      view: this.replica,
+      clock: this.clock,
+      callbacks: {
         onOwnershipChanged: () => {
           this.shards.reconcileOwnership();
         },
@@ -127,8 +128,8 @@
           void this.requestController(owner, { handOver: { shard, to } }).catch(() => undefined),
         isCutOffFromWorkers: (node) => this.links.policy.isCutOffFromWorkers(node),
       },
-      this.log,
-    );
+      log: this.log,
+    });
   }
 
   private makeRouter(): HeartbeatRouter {
@@ -253,7 +254,7 @@
     };
     const feed = watchRecords(
       this.state,
-      { whole: LIVE_PREFIX, followed: ROOT_PREFIX },
+      { listed: LIVE_PREFIX, watched: ROOT_PREFIX },
       pace,
       this.clock,
       this.log,
