--- /dev/null
+++ b/src/placement/job-deferral.ts
@@ -0,0 +1,54 @@
+/** Which jobs to defer where a team's quota cannot hold all of its jobs in time. Pure. */
+import type { Team } from "../config/settings.js";
+import type { Job } from "../workers/model.js";
+import { expectedRuntimeMs } from "./runtime-estimates.js";
+import type { SchedulingContext } from "./scheduling-context.js";
+import type { SloWindow } from "./slo-window.js";
+
+/** A job and how long it takes with all of its team's quota. */
+interface ScheduledJob {
+  job: Job;
+  durationMs: number;
+}
+
+/** The jobs that cannot be in time because of their teams' quotas, so that others can be. */
+export function jobsToDefer(jobs: Job[], windows: Map<Job, SloWindow>, context: SchedulingContext): Set<Job> {
+  const deferred = new Set<Job>();
+  for (const team of context.teams) {
+    if (team.cpusMax <= 0) continue;
+    const jobsOfTeam = jobs.filter((job) => job.spec.team === team.name);
+    jobsOfTeam.sort((a, b) => windows.get(a)!.due - windows.get(b)!.due);
+    deferLargest(jobsOfTeam, team, windows, context, deferred);
+  }
+  return deferred;
+}
+
+/**
+ * Moore's rule for one machine, which leaves the most jobs in time: takes jobs by due time, and defers the largest so
+ * far whenever one would be late.
+ */
+function deferLargest(
+  jobsByDueTime: Job[],
+  team: Team,
+  windows: Map<Job, SloWindow>,
+  context: SchedulingContext,
+  deferred: Set<Job>,
+): void {
+  const scheduled: ScheduledJob[] = [];
+  let endsAt = context.wallNow;
+  for (const job of jobsByDueTime) {
+    const durationMs = durationWithQuotaMs(job, team, context);
+    scheduled.push({ job, durationMs });
+    endsAt += durationMs;
+    if (endsAt <= windows.get(job)!.due) continue;
+    const largest = scheduled.reduce((a, b) => (b.durationMs > a.durationMs ? b : a));
+    scheduled.splice(scheduled.indexOf(largest), 1);
+    endsAt -= largest.durationMs;
+    deferred.add(largest.job);
+  }
+}
+
+function durationWithQuotaMs(job: Job, team: Team, context: SchedulingContext): number {
+  const remainingTasks = job.spec.tasks - job.done.count;
+  return (remainingTasks * job.spec.cpus * expectedRuntimeMs(job, context)) / team.cpusMax;
+}
--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -1,25 +1,22 @@
-/** Which jobs may pass to another shard, and what room a shard has that nothing of its own takes. Pure. */
+/** Which jobs may migrate to another shard, and what capacity a shard has for jobs of others. Pure. */
 import type { Team } from "../config/settings.js";
 import type { FreeCapacity, MigrationCandidate } from "../peers/messages.js";
 import type { QuotaReservation } from "../jobs/job-records.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
 import type { Job } from "../workers/model.js";
-import {
-  ROUNDING_TOLERANCE,
-  isStartable,
-  teamUsage,
-  unreconciledUsage,
-  type QuotaUsage,
-} from "./capacity.js";
-import type { PlacementInput } from "./placement-round.js";
+import { ROUNDING_TOLERANCE } from "./capacity.js";
+import { isStartable } from "./eligibility.js";
+import { freeCapacityOf, usableTypeOf } from "./machine-capacity.js";
+import { quotaSnapshot, teamOf, type QuotaUsage } from "./quota.js";
+import type { PlacementInput } from "./scheduling-context.js";
 
-/** A job may pass on once it has waited for this fraction of the time in which nobody waits beside room. */
+/** A job may migrate once it has waited for this fraction of the time in which nobody waits with free capacity. */
 const MIGRATE_AFTER_FRACTION = 1 / 2;
-const NOTHING: QuotaUsage = { cpus: 0, gpus: 0 };
-/** So many jobs are told of at a time: they differ in what their tasks need. */
+const NO_USAGE: QuotaUsage = { cpus: 0, gpus: 0 };
+/** How many candidates a summary names: they differ in what their tasks need. */
 const MAX_CANDIDATES = 4;
 
-/** What passing a job on takes: how many of its tasks may run at a time, and what is reserved for them. */
+/** On what terms a job migrates: how many of its tasks may run at a time, and what is reserved for them. */
 export interface MigrationTerms {
   /** Infinity where the job's team has no limit. */
   maxParallelTasks: number;
@@ -29,30 +26,28 @@
   migratedIn: boolean;
 }
 
-/** The jobs that have not begun and have waited for long, the oldest first, one of each kind. */
+/** The jobs that have not begun and have waited for long, the oldest first, one of each kind of task. */
 export function migrationCandidates(input: PlacementInput): MigrationCandidate[] {
-  const oldest = [...input.jobs]
-    .filter(
-      (job) =>
-        input.wallNow - job.acceptedAt >= MIGRATE_AFTER_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000,
-    )
+  const migrateAfterMs = MIGRATE_AFTER_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
+  const oldestFirst = [...input.jobs]
+    .filter((job) => input.wallNow - job.acceptedAt >= migrateAfterMs)
     .filter((job) => job.waiting > 0 && canMigrate(job, input))
     .sort((a, b) => a.acceptedAt - b.acceptedAt);
-  if (oldest.length === 0) return [];
-  const taken = quotaSnapshot(input);
-  const told = new Map<string, MigrationCandidate>();
-  for (const job of oldest) {
+  if (oldestFirst.length === 0) return [];
+  const quota = quotaSnapshot(input);
+  const candidates = new Map<string, MigrationCandidate>();
+  for (const job of oldestFirst) {
     const { cpus, gpus, memoryGb, types, zone, spot, priority } = job.spec;
     const task = { cpus, gpus, memoryGb, types: types ?? [], zone: zone ?? "", spot, priority, count: 1 };
     const kind = JSON.stringify(task);
-    if (told.has(kind) || migrationTermsFor(job, input, taken) === null) continue;
-    told.set(kind, { job: job.spec.id, task, waitedMs: input.wallNow - job.acceptedAt });
-    if (told.size === MAX_CANDIDATES) break;
+    if (candidates.has(kind) || migrationTermsFor(job, input, quota) === null) continue;
+    candidates.set(kind, { job: job.spec.id, task, waitedMs: input.wallNow - job.acceptedAt });
+    if (candidates.size === MAX_CANDIDATES) break;
   }
-  return [...told.values()];
+  return [...candidates.values()];
 }
 
-/** Whether nothing of a job has ever been placed, as is known for sure, and it is not a guest here itself. */
+/** Whether it is known for sure that no task of a job has ever been placed, and it has not migrated here itself. */
 export function canMigrate(job: Job, input: PlacementInput): boolean {
   return (
     !job.hasStarted &&
@@ -63,63 +58,64 @@
   );
 }
 
-/** What the teams take of their limits: worked out once for all jobs that are looked at together. */
-interface QuotaSnapshot {
-  byTeam: Map<string, QuotaUsage>;
-  unseen: QuotaUsage;
-}
-
-function quotaSnapshot(input: PlacementInput): QuotaSnapshot {
-  return {
-    byTeam: teamUsage(input.jobs, input.reservedQuota),
-    unseen: unreconciledUsage(input.machines, input.types),
-  };
-}
-
-/** On what terms a job may pass on now; null if its team's limit leaves no room for all that could ever run of it at once. */
+/**
+ * On what terms a job may migrate now; null if its team's limit does not leave enough for all of its tasks that could
+ * ever run at once.
+ */
 export function migrationTermsFor(
   job: Job,
   input: PlacementInput,
-  taken = quotaSnapshot(input),
+  quota = quotaSnapshot(input),
 ): MigrationTerms | null {
   const { spec } = job;
-  const team = input.teams.find((t) => t.name === spec.team);
+  const team = teamOf(job, input.teams);
   if (team === undefined) return null;
   // A single team's shards are alike; several teams are spread over the shards.
-  const guest = input.teams.length > 1;
+  const migratedIn = input.teams.length > 1;
   if (team.cpusMax <= 0 && team.gpusMax <= 0)
-    return { maxParallelTasks: Infinity, reservation: null, migratedIn: guest };
-  const used = taken.byTeam.get(spec.team)!;
-  const most = Math.min(spec.tasks, tasksUnderLimit(team, used, taken.unseen, spec));
+    return { maxParallelTasks: Infinity, reservation: null, migratedIn };
+  const usage = quota.byTeam.get(spec.team)!;
+  const maxParallelTasks = Math.min(spec.tasks, tasksWithinLimit(team, usage, quota.unreconciled, spec));
+  const maxEver = Math.min(spec.tasks, tasksWithinLimit(team, NO_USAGE, NO_USAGE, spec));
   // Guards against a job that goes on with a task or two at a time where its own shard would soon let all of it run.
-  if (most < Math.min(spec.tasks, tasksUnderLimit(team, NOTHING, NOTHING, spec))) return null;
-  const reservation = { team: spec.team, cpus: most * spec.cpus, gpus: most * spec.gpus };
-  return { maxParallelTasks: most, reservation, migratedIn: guest };
+  if (maxParallelTasks < maxEver) return null;
+  const cpus = maxParallelTasks * spec.cpus;
+  const gpus = maxParallelTasks * spec.gpus;
+  return { maxParallelTasks, reservation: { team: spec.team, cpus, gpus }, migratedIn };
 }
 
-function tasksUnderLimit(team: Team, used: QuotaUsage, unseen: QuotaUsage, need: QuotaUsage): number {
-  const per = (max: number, taken: number, each: number): number =>
-    max > 0 && each > 0 ? Math.floor((max - taken) / each + ROUNDING_TOLERANCE) : Infinity;
+/** How many more tasks that need `need` stay within the team's limit. */
+function tasksWithinLimit(team: Team, usage: QuotaUsage, unreconciled: QuotaUsage, need: QuotaUsage): number {
   return Math.min(
-    per(team.cpusMax, used.cpus + unseen.cpus, need.cpus),
-    per(team.gpusMax, used.gpus + unseen.gpus, need.gpus),
+    tasksWithin(team.cpusMax, usage.cpus + unreconciled.cpus, need.cpus),
+    tasksWithin(team.gpusMax, usage.gpus + unreconciled.gpus, need.gpus),
   );
 }
 
-/** The largest free room of each market, reserved machines left out: right after a round nothing of this shard takes it. */
+/** A limit of zero is none. */
+function tasksWithin(limit: number, usage: number, needPerTask: number): number {
+  return limit > 0 && needPerTask > 0
+    ? Math.floor((limit - usage) / needPerTask + ROUNDING_TOLERANCE)
+    : Infinity;
+}
+
+/**
+ * The largest free capacity on one machine of each instance pool, reserved machines left out: right after a round no
+ * job of this shard uses it.
+ */
 export function largestFreeCapacity(input: PlacementInput): FreeCapacity[] {
-  const largest = new Map<string, FreeCapacity>();
+  const largestByPool = new Map<string, FreeCapacity>();
   for (const machine of input.machines) {
-    const type = input.types.get(machine.record.type);
-    if (type === undefined || !machine.schedulable || machine.notBefore > input.now) continue;
+    const type = usableTypeOf(machine, input);
+    if (type === null) continue;
     if (input.starvationReservations.has(machine) || input.preemptionReservations.has(machine)) continue;
-    const used = machine.usedResources();
-    const cpus = type.cpus - used.cpus;
+    // Most machines are full: the other resources are computed only for those that are not.
+    const freeCpus = type.cpus - machine.usedResources().cpus;
     const { zone, spot } = machine.record;
-    const key = `${type.name}/${zone}/${spot}`;
-    if (cpus <= ROUNDING_TOLERANCE || cpus <= (largest.get(key)?.cpus ?? 0)) continue;
-    const room = { cpus, gpus: type.gpus - used.gpus, memoryGb: type.memoryGb - used.memoryGb };
-    largest.set(key, { type: type.name, zone, spot, ...room });
+    const pool = `${type.name}/${zone}/${spot}`;
+    if (freeCpus <= ROUNDING_TOLERANCE || freeCpus <= (largestByPool.get(pool)?.cpus ?? 0)) continue;
+    const { cpus, gpus, memoryGb } = freeCapacityOf(machine, type);
+    largestByPool.set(pool, { type: type.name, zone, spot, cpus, gpus, memoryGb });
   }
-  return [...largest.values()];
+  return [...largestByPool.values()];
 }
--- a/src/placement/shard-summary.ts
+++ b/src/placement/shard-summary.ts
@@ -1,19 +1,14 @@
-/** What an owner tells the leader of its shard: how full it is, what it is short of, how its machines are. Pure. */
+/** What an owner reports to the leader about its shard: load, demand, and the condition of its machines. Pure. */
 import type { Demand, MachineSummary, ShardLoad, ShardSummary } from "../peers/messages.js";
 import type { Job, Machine, Placement } from "../workers/model.js";
 import { forecastUnmetDemand, type UnmetDemand } from "./capacity-forecast.js";
-import {
-  isEligible,
-  slotsPerMachine,
-  isStartable,
-  teamUsage,
-  isWithinQuota,
-  unreconciledUsage,
-} from "./capacity.js";
-import type { PlacementInput } from "./placement-round.js";
-import { orderByPriority } from "./slo-priority.js";
+import { slotsPerMachine } from "./capacity.js";
+import { isEligible, isStartable } from "./eligibility.js";
+import { orderByPriority } from "./job-queue.js";
+import { addUsage, isWithinQuota, quotaSnapshot, teamOf, type QuotaSnapshot } from "./quota.js";
+import type { PlacementInput } from "./scheduling-context.js";
 
-/** How full the shard is, and what waits, in processors. */
+/** How full the shard is and how much work waits, in processors. */
 export function measureLoad({
   jobs,
   machines,
@@ -31,7 +26,7 @@
   return load;
 }
 
-/** What the processors in use are doing, for operators who ask where money goes. */
+/** How many processors are used by tasks of each state, for operators who ask what they pay for. */
 export function cpusByTaskState(machines: Iterable<Machine>): Record<Placement["state"], number> {
   const cpus = { assigned: 0, fetching: 0, running: 0, saving: 0 };
   for (const machine of machines)
@@ -39,29 +34,31 @@
   return cpus;
 }
 
-/** Tasks that need machines yet to be rented, alike ones together; limits of teams respected. */
+/** The tasks that need machines yet to be rented, alike ones together, within the quotas of their teams. */
 export function computeDemand(input: PlacementInput): Demand[] {
-  const usage = teamUsage(input.jobs, input.reservedQuota);
-  const unseen = unreconciledUsage(input.machines, input.types);
+  const quota = quotaSnapshot(input);
+  const startable = [...input.jobs].filter((job) => job.waiting > 0 && isStartable(job, input));
   const waiting = new Map<Job, number>();
-  const open = [...input.jobs].filter((j) => j.waiting > 0 && isStartable(j, input));
-  for (const job of orderByPriority(open, input)) {
-    const { spec } = job;
-    const team = input.teams.find((t) => t.name === spec.team);
-    const used = usage.get(spec.team)!;
-    const most = job.suspectedFaulty ? worthTrying(job, input) : job.startableTasks;
-    let count = 0;
-    for (; count < most && isWithinQuota(team, used, unseen, spec); count++) {
-      used.cpus += spec.cpus;
-      used.gpus += spec.gpus;
-    }
+  for (const job of orderByPriority(startable, input)) {
+    const count = claimQuota(job, quota, input);
     if (count > 0) waiting.set(job, count);
   }
   return groupDemand(forecastUnmetDemand({ ...input, waiting }));
 }
 
+/** How many more tasks of a job may run within its team's quota; adds them to the team's usage. */
+function claimQuota(job: Job, quota: QuotaSnapshot, input: PlacementInput): number {
+  const team = teamOf(job, input.teams);
+  const usage = quota.byTeam.get(job.spec.team)!;
+  const maxTasks = job.suspectedFaulty ? trialTasks(job, input) : job.startableTasks;
+  let count = 0;
+  for (; count < maxTasks && isWithinQuota(team, usage, quota.unreconciled, job.spec); count++)
+    addUsage(usage, job.spec);
+  return count;
+}
+
 /** A job that may be faulty is tried with one task, for which nothing is rented while a machine could hold it. */
-function worthTrying(job: Job, input: PlacementInput): number {
+function trialTasks(job: Job, input: PlacementInput): number {
   if (job.active.size > 0) return 0;
   for (const machine of input.machines) {
     const type = input.types.get(machine.record.type);
@@ -76,22 +73,22 @@
   return 1;
 }
 
-function groupDemand(rest: UnmetDemand[]): Demand[] {
+function groupDemand(unmet: UnmetDemand[]): Demand[] {
   const groups = new Map<string, Demand>();
-  for (const { job, count, zone } of rest) {
+  for (const { job, count, zone } of unmet) {
     const { cpus, gpus, memoryGb, spot, priority, types } = job.spec;
     const group = { cpus, gpus, memoryGb, types: types ?? [], zone: zone ?? "", spot, priority };
     const key = JSON.stringify(group);
-    const known = groups.get(key);
-    if (known) known.count += count;
+    const existing = groups.get(key);
+    if (existing) existing.count += count;
     else groups.set(key, { ...group, count });
   }
   return [...groups.values()];
 }
 
 /**
- * What an owner that cannot start anything tells: no machines are rented for it, no jobs pass to it, and machines that it
- * does not hear are not returned on its word.
+ * The summary of an owner that cannot start anything: no machines are rented for it, no jobs migrate to it, and no
+ * machines are returned because it has not received their heartbeats.
  */
 export function withoutDemand(summary: ShardSummary): ShardSummary {
   const machines = summary.machines.map((machine): MachineSummary =>
@@ -100,23 +97,27 @@
   return { ...summary, machines, demand: [], rooms: [] };
 }
 
-/** One machine as the leader is told of it. */
+/**
+ * The condition of one machine, as it is reported to the leader.
+ *
+ * @param now steady time in milliseconds
+ */
 export function summarizeMachine(machine: Machine, now: number): MachineSummary {
   const { host, emptyHeartbeats: emptyReports } = machine;
-  const since = (t: number | null): number => (t === null ? 0 : now - t);
+  const elapsedSince = (instant: number | null): number => (instant === null ? 0 : now - instant);
   if (machine.record.draining || machine.removalPending)
     return { host, state: "draining", forMs: 0, emptyReports };
   if (machine.leaseExpiredAt !== null)
-    return { host, state: "silent", forMs: since(machine.leaseExpiredAt), emptyReports };
-  // It speaks and does not hear: as good as silent, for what is to become of it.
+    return { host, state: "silent", forMs: elapsedSince(machine.leaseExpiredAt), emptyReports };
+  // Its heartbeats arrive and our responses do not: it can be used no more than one without heartbeats.
   if (machine.responsesLost)
-    return { host, state: "silent", forMs: since(machine.responsesLostSince), emptyReports };
+    return { host, state: "silent", forMs: elapsedSince(machine.responsesLostSince), emptyReports };
   if (!machine.followsTerm) {
     const state = machine.record.hasReported ? "joining" : "booting";
-    return { host, state, forMs: since(machine.addedAt), emptyReports };
+    return { host, state, forMs: elapsedSince(machine.addedAt), emptyReports };
   }
   if (machine.quarantined) return { host, state: "sick", forMs: 0, emptyReports };
   if (machine.empty && machine.interruptionNoticeS === null)
-    return { host, state: "idle", forMs: since(machine.emptySince), emptyReports };
+    return { host, state: "idle", forMs: elapsedSince(machine.emptySince), emptyReports };
   return { host, state: "busy", forMs: 0, emptyReports };
 }
--- a/src/shards/cordons.ts
+++ b/src/shards/cordons.ts
@@ -3,8 +3,8 @@
 import type { Logger } from "../runtime/log.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S, PRIORITIES, type Priority } from "../wire/index.js";
 import type { Machine, Placement } from "../workers/model.js";
-import { expectedRemainingMs } from "../placement/capacity-forecast.js";
-import type { PlacementInput } from "../placement/placement-round.js";
+import { expectedRemainingMs } from "../placement/runtime-estimates.js";
+import type { PlacementInput } from "../placement/scheduling-context.js";
 
 /** So many report intervals a machine stays cordoned after the leader last asked for it. */
 const CORDON_REPORTS = 3;
--- a/src/shards/quota-reservations.ts
+++ b/src/shards/quota-reservations.ts
@@ -1,6 +1,6 @@
 /** What a shard keeps free of its teams' limits for jobs that have passed to other shards. */
 import type { QuotaReservation } from "../jobs/job-records.js";
-import type { QuotaUsage } from "../placement/capacity.js";
+import type { QuotaUsage } from "../placement/quota.js";
 
 interface HeldReservation {
   reservation: QuotaReservation;
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -22,13 +22,7 @@
 import { Cordons } from "./cordons.js";
 import { DecisionMetrics } from "./decision-metrics.js";
 import { FailureTracker } from "./failure-tracker.js";
-import {
-  placeOnMachine,
-  placeRound,
-  buildQueue,
-  type PlacementRound,
-  type PlacementInput,
-} from "../placement/placement-round.js";
+import { placeOnMachine, placeRound, type PlacementRound } from "../placement/placement-round.js";
 import { choosePreemptions } from "../placement/preemption.js";
 import { PreemptionReservations } from "./preemption-reservations.js";
 import { ShardRecords } from "./shard-records.js";
@@ -41,7 +35,8 @@
   type MigrationTerms,
 } from "../placement/migration-policy.js";
 import { computeDemand, measureLoad, summarizeMachine, cpusByTaskState } from "../placement/shard-summary.js";
-import type { QueueEntry } from "../placement/slo-priority.js";
+import { buildQueue, type QueueEntry } from "../placement/job-queue.js";
+import type { PlacementInput } from "../placement/scheduling-context.js";
 
 /** Attempts are a token and a count within its term, so that they never repeat. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
 import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
-import type { PlacementInput } from "../src/placement/placement-round.js";
+import type { PlacementInput } from "../src/placement/scheduling-context.js";
 import { choosePreemptions } from "../src/placement/preemption.js";
 import { RenewalGuard } from "../src/shards/renewal-guard.js";
 import { DecisionMetrics } from "../src/shards/decision-metrics.js";
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -3,16 +3,11 @@
 import { test } from "node:test";
 import { ShardAssignment } from "../src/jobs/shard-assignment.js";
 import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
-import {
-  placeOnMachine,
-  placeRound,
-  buildQueue,
-  type PlacementRound,
-  type PlacementInput,
-} from "../src/placement/placement-round.js";
+import { buildQueue, orderByPriority } from "../src/placement/job-queue.js";
+import { placeOnMachine, placeRound, type PlacementRound } from "../src/placement/placement-round.js";
 import { choosePreemptions } from "../src/placement/preemption.js";
 import { SpeedTracker } from "../src/shards/speed-tracker.js";
-import { orderByPriority } from "../src/placement/slo-priority.js";
+import type { PlacementInput } from "../src/placement/scheduling-context.js";
 import type { JobSpec } from "../src/wire/index.js";
 import { attach, Job, Machine, type Placement } from "../src/workers/model.js";
 import { jobSpec, silent, smallType } from "./support/records.js";
