--- a/src/placement/capacity-forecast.ts
+++ b/src/placement/capacity-forecast.ts
@@ -3,7 +3,7 @@
  * renting machines for: a machine takes its boot time to come, and by then the queue may be empty. Pure.
  */
 import type { MachineType } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import { allowsZone, countTasksByZone, countZone, isEligible, maxTasksPerZone } from "./eligibility.js";
 import { orderByPriority } from "./job-queue.js";
 import {
--- a/src/placement/capacity.ts
+++ b/src/placement/capacity.ts
@@ -1,11 +1,5 @@
-/** Resources of tasks and machines: sums, and how many tasks fit. Pure. */
-
-/** Processors, graphics cards and memory. */
-export interface Resources {
-  cpus: number;
-  gpus: number;
-  memoryGb: number;
-}
+/** How many tasks fit into a capacity. Pure. */
+import type { Resources } from "../workers/resources.js";
 
 /** How far sums of fractions may be off because of rounding. */
 export const ROUNDING_TOLERANCE = 1e-9;
@@ -32,17 +26,3 @@
 function slotsOf(available: number, needPerTask: number): number {
   return needPerTask > 0 ? Math.floor(available / needPerTask + ROUNDING_TOLERANCE) : Infinity;
 }
-
-/** Adds resources to a sum in place. */
-export function addResources(sum: Resources, { cpus, gpus, memoryGb }: Readonly<Resources>): void {
-  sum.cpus += cpus;
-  sum.gpus += gpus;
-  sum.memoryGb += memoryGb;
-}
-
-/** Subtracts resources from a sum in place. */
-export function subtractResources(sum: Resources, { cpus, gpus, memoryGb }: Readonly<Resources>): void {
-  sum.cpus -= cpus;
-  sum.gpus -= gpus;
-  sum.memoryGb -= memoryGb;
-}
--- a/src/placement/eligibility.ts
+++ b/src/placement/eligibility.ts
@@ -1,5 +1,6 @@
 /** When and where tasks of a job may start, by the job's constraints and the owner's term. Pure. */
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 
 /** What an owner's term says about jobs from before it. */
 export interface OwnershipTerm {
--- a/src/placement/image-locality.ts
+++ b/src/placement/image-locality.ts
@@ -1,5 +1,6 @@
 /** The order in which one machine serves the queue, with the images that it has taken into account. */
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 import { isStartable } from "./eligibility.js";
 import type { QueueEntry } from "./job-queue.js";
 import { expectedRuntimeMs } from "./runtime-estimates.js";
--- a/src/placement/job-deferral.ts
+++ b/src/placement/job-deferral.ts
@@ -1,6 +1,6 @@
 /** Which jobs to defer where a team's quota cannot hold all of its jobs in time. Pure. */
 import type { Team } from "../config/settings.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import { expectedRuntimeMs } from "./runtime-estimates.js";
 import type { SchedulingContext } from "./scheduling-context.js";
 import type { SloWindow } from "./slo-window.js";
--- a/src/placement/job-placement.ts
+++ b/src/placement/job-placement.ts
@@ -1,7 +1,8 @@
 /** Where the tasks of one job start in a round of placement: bin packing within the team's quota. */
 import type { Team } from "../config/settings.js";
-import type { Job } from "../workers/model.js";
-import { fits, subtractResources } from "./capacity.js";
+import type { Job } from "../workers/job.js";
+import { fits } from "./capacity.js";
+import { subtractResources } from "../workers/resources.js";
 import { allowsZone, countTasksByZone, countZone, isEligible } from "./eligibility.js";
 import type { MachineCapacity } from "./machine-capacity.js";
 import { scoreMachine } from "./placement-score.js";
--- a/src/placement/job-queue.ts
+++ b/src/placement/job-queue.ts
@@ -1,6 +1,6 @@
 /** The order in which waiting jobs are served. Pure. */
 import { PRIORITIES } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import { isStartable } from "./eligibility.js";
 import { jobsToDefer } from "./job-deferral.js";
 import type { PlacementInput, SchedulingContext } from "./scheduling-context.js";
--- a/src/placement/machine-capacity.ts
+++ b/src/placement/machine-capacity.ts
@@ -1,7 +1,8 @@
 /** What is free on the machines of the shard. Pure. */
 import type { MachineType } from "../wire/index.js";
-import type { Machine } from "../workers/model.js";
-import { ROUNDING_TOLERANCE, fits, type Resources } from "./capacity.js";
+import type { Machine } from "../workers/machine.js";
+import { ROUNDING_TOLERANCE, fits } from "./capacity.js";
+import type { Resources } from "../workers/resources.js";
 import type { QueueEntry } from "./job-queue.js";
 import type { PlacementInput } from "./scheduling-context.js";
 
--- a/src/placement/machine-forecast.ts
+++ b/src/placement/machine-forecast.ts
@@ -1,6 +1,8 @@
 /** When how much capacity comes free on a machine, as its tasks end. Pure. */
-import type { Job, Machine } from "../workers/model.js";
-import { ROUNDING_TOLERANCE, addResources, fits, slotsPerMachine, type Resources } from "./capacity.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
+import { ROUNDING_TOLERANCE, fits, slotsPerMachine } from "./capacity.js";
+import { addResources, type Resources } from "../workers/resources.js";
 import { expectedRemainingMs } from "./runtime-estimates.js";
 import type { PlacementInput } from "./scheduling-context.js";
 
--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -3,7 +3,7 @@
 import type { FreeCapacity, MigrationCandidate } from "../peers/messages.js";
 import type { QuotaReservation } from "../jobs/job-records.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import { ROUNDING_TOLERANCE } from "./capacity.js";
 import { isStartable } from "./eligibility.js";
 import { freeCapacityOf, usableTypeOf } from "./machine-capacity.js";
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -1,6 +1,7 @@
 /** Which waiting tasks start where: one round of decisions, within a budget of time. Pure but for the clock it is given. */
 import type { SteadyClock } from "../runtime/clock.js";
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 import { imageLocalFirst } from "./image-locality.js";
 import { placeWithinQuota } from "./job-placement.js";
 import type { QueueEntry } from "./job-queue.js";
--- a/src/placement/placement-score.ts
+++ b/src/placement/placement-score.ts
@@ -1,6 +1,6 @@
 /** Which machine is the best one for a job's tasks. Pure. */
 import { PRIORITIES } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import type { MachineCapacity } from "./machine-capacity.js";
 
 const URGENT = PRIORITIES.indexOf("urgent");
--- a/src/placement/preemptable-capacity.ts
+++ b/src/placement/preemptable-capacity.ts
@@ -1,7 +1,9 @@
 /** What will soon be free on machines, and which of their tasks may be preempted. Pure. */
 import { PRIORITIES, type MachineType } from "../wire/index.js";
-import type { Job, Machine, Placement } from "../workers/model.js";
-import { subtractResources, type Resources } from "./capacity.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
+import type { Placement } from "../workers/placement.js";
+import { subtractResources, type Resources } from "../workers/resources.js";
 import { subtractUsage, type QuotaUsage } from "./quota.js";
 import { expectedRemainingMs, expectedRuntimeMs } from "./runtime-estimates.js";
 import type { PlacementInput } from "./scheduling-context.js";
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -3,8 +3,10 @@
  * is lost (it is saved, or has hardly begun), and only where nothing ends soon anyway. Pure but for the clock.
  */
 import type { SteadyClock } from "../runtime/clock.js";
-import type { Job, Machine, Placement } from "../workers/model.js";
-import { addResources, subtractResources } from "./capacity.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
+import type { Placement } from "../workers/placement.js";
+import { addResources, subtractResources } from "../workers/resources.js";
 import { countTasksByZone, countZone, isEligible, isStartable } from "./eligibility.js";
 import { orderByPriority } from "./job-queue.js";
 import {
--- a/src/placement/quota.ts
+++ b/src/placement/quota.ts
@@ -1,7 +1,8 @@
 /** What teams use of their quota, and whether one more task stays within a team's limit. Pure. */
 import type { Team } from "../config/settings.js";
 import type { MachineType } from "../wire/index.js";
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 import { ROUNDING_TOLERANCE } from "./capacity.js";
 
 /** The resources that quotas limit, as used by a team or needed by a task. */
--- a/src/placement/round-state.ts
+++ b/src/placement/round-state.ts
@@ -1,5 +1,6 @@
 /** What a round of placement has decided so far. */
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 import type { MachineCapacity } from "./machine-capacity.js";
 import { quotaSnapshot, type QuotaSnapshot } from "./quota.js";
 import type { PlacementInput } from "./scheduling-context.js";
--- a/src/placement/runtime-estimates.ts
+++ b/src/placement/runtime-estimates.ts
@@ -1,6 +1,7 @@
 /** How long tasks are expected to run, and how long it takes until they can start on a new machine. Pure. */
 import type { MachineType } from "../wire/index.js";
-import type { Job, Placement } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Placement } from "../workers/placement.js";
 import type { SchedulingContext } from "./scheduling-context.js";
 
 /** A task that outruns its estimate is expected to run for this fraction of it once more. */
--- a/src/placement/scheduling-context.ts
+++ b/src/placement/scheduling-context.ts
@@ -1,7 +1,8 @@
 /** What scheduling decisions are made on. */
 import type { Objective, Team } from "../config/settings.js";
 import type { MachineType } from "../wire/index.js";
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 import type { OwnershipTerm } from "./eligibility.js";
 import type { QuotaUsage } from "./quota.js";
 
--- a/src/placement/shard-summary.ts
+++ b/src/placement/shard-summary.ts
@@ -1,6 +1,8 @@
 /** What an owner reports to the leader about its shard: load, demand, and the condition of its machines. Pure. */
 import type { Demand, MachineSummary, ShardLoad, ShardSummary } from "../peers/messages.js";
-import type { Job, Machine, Placement } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
+import type { Placement } from "../workers/placement.js";
 import { forecastUnmetDemand, type UnmetDemand } from "./capacity-forecast.js";
 import { slotsPerMachine } from "./capacity.js";
 import { isEligible, isStartable } from "./eligibility.js";
--- a/src/placement/slo-window.ts
+++ b/src/placement/slo-window.ts
@@ -1,6 +1,6 @@
 /** When the tasks of a job should start for its service-level objectives to be met, and how much slack is left. Pure. */
 import type { Objective } from "../config/settings.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import { expectedRuntimeMs, imagePullMs, provisioningMs } from "./runtime-estimates.js";
 import type { SchedulingContext } from "./scheduling-context.js";
 
--- a/src/placement/starvation-reservation.ts
+++ b/src/placement/starvation-reservation.ts
@@ -1,5 +1,6 @@
 /** Which machine is reserved for a starving job. */
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 import { fits } from "./capacity.js";
 import { isEligible } from "./eligibility.js";
 import type { RoundState } from "./round-state.js";
--- a/src/placement/starvation.ts
+++ b/src/placement/starvation.ts
@@ -1,6 +1,6 @@
 /** Which jobs have waited for too long, and when a machine is reserved for one of them. Pure. */
 import { MAX_START_DELAY_S, MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import type { SchedulingContext } from "./scheduling-context.js";
 
 /** A job is starving if none of its tasks has started by this fraction of the time in which all must start. */
--- a/src/placement/victim-search.ts
+++ b/src/placement/victim-search.ts
@@ -1,8 +1,10 @@
 /** On which machine one more task can start, and which tasks must be preempted for it. Pure. */
 import type { Team } from "../config/settings.js";
 import { PRIORITIES } from "../wire/index.js";
-import type { Job, Placement } from "../workers/model.js";
-import { addResources, fits, type Resources } from "./capacity.js";
+import type { Job } from "../workers/job.js";
+import type { Placement } from "../workers/placement.js";
+import { fits } from "./capacity.js";
+import { addResources, type Resources } from "../workers/resources.js";
 import { allowsZone } from "./eligibility.js";
 import { priorityRank, type PreemptableCapacity } from "./preemptable-capacity.js";
 import { isWithinQuota, subtractUsage, type QuotaUsage } from "./quota.js";
--- a/src/shards/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -4,7 +4,7 @@
 import type { Logger } from "../runtime/log.js";
 import { keys } from "../state/keys.js";
 import type { Condition, Write } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 
 /** Completed work that is to be written, and what follows from the write. */
 export interface Completion {
--- a/src/shards/cordons.ts
+++ b/src/shards/cordons.ts
@@ -2,7 +2,8 @@
 import { allowsPool, type Demand } from "../peers/messages.js";
 import type { Logger } from "../runtime/log.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S, PRIORITIES, type Priority } from "../wire/index.js";
-import type { Machine, Placement } from "../workers/model.js";
+import type { Machine } from "../workers/machine.js";
+import type { Placement } from "../workers/placement.js";
 import { expectedRemainingMs } from "../placement/runtime-estimates.js";
 import type { PlacementInput } from "../placement/scheduling-context.js";
 
--- a/src/shards/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -1,7 +1,7 @@
 /** Jobs that are over while tasks of theirs are still on machines: when they were stopped, and when they were gone. */
 import type { Logger } from "../runtime/log.js";
 import type { WorkerCommand } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import type { DecisionMetrics } from "./decision-metrics.js";
 
 interface EndedJob {
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -1,7 +1,8 @@
 /** Tells jobs that were submitted with a mistake from faulty machines, by where else each of them does well. */
 import type { Logger } from "../runtime/log.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 
 /** A job that fails on so many machines is at fault itself. */
 const FAULTY_JOB_MACHINES = 3;
--- a/src/shards/job-migrator.ts
+++ b/src/shards/job-migrator.ts
@@ -7,7 +7,7 @@
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { Condition, Write } from "../wire/index.js";
-import type { Job } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
 import type { Shard } from "./shard.js";
 
 /** The term of the owner that passes jobs on. */
--- a/src/shards/preemption-reservations.ts
+++ b/src/shards/preemption-reservations.ts
@@ -1,5 +1,6 @@
 /** Machines reserved for a while for the job for which tasks were stopped there. */
-import type { Job, Machine } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
 
 interface PreemptionReservation {
   job: Job;
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -62,7 +62,7 @@
   ): LeaseRenewal | null {
     const renewal = LeaseRenewal.decide(right.token, report, commands, isLive);
     if (renewal instanceof LeaseRenewal) {
-      this.metrics.answered(right.copyAgeMs);
+      this.metrics.answered(right.shardViewAgeMs);
       return renewal;
     }
     this.metrics.refused(renewal.reason);
--- a/src/shards/shard-owner.ts
+++ b/src/shards/shard-owner.ts
@@ -8,7 +8,7 @@
 import { jittered, sleep } from "../runtime/sleep.js";
 import type { Fleet, FleetChange } from "../workers/fleet.js";
 import { readMachineGroup } from "../workers/machine-records.js";
-import { limitCommands } from "../workers/heartbeat-reconciliation.js";
+import { limitCommands } from "../workers/worker-commands.js";
 import type { Heartbeat } from "../wire/index.js";
 import type { RenewalGuard } from "./renewal-guard.js";
 import type { Completion } from "./completion-log.js";
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -9,14 +9,13 @@
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import { CLOCK_DRIFT, type WorkerCommand, type MachineType, type Heartbeat } from "../wire/index.js";
-import { attach, newPlacement, type Job, type Machine, type Placement } from "../workers/model.js";
-import {
-  reconcileHeartbeat,
-  isLive,
-  isNewerHeartbeat,
-  recordResponse,
-  releaseAll,
-} from "../workers/heartbeat-reconciliation.js";
+import { attach, newPlacement, type Placement } from "../workers/placement.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
+import { reconcileHeartbeat, isNewerHeartbeat } from "../workers/heartbeat-reconciliation.js";
+import { isLive } from "../workers/job.js";
+import { recordResponse } from "../workers/lost-responses.js";
+import { releaseAll } from "../workers/placement.js";
 import { slotsPerMachine } from "../placement/capacity.js";
 import type { Completion } from "./completion-log.js";
 import { Cordons } from "./cordons.js";
--- a/src/shards/speed-tracker.ts
+++ b/src/shards/speed-tracker.ts
@@ -1,6 +1,8 @@
 /** What tasks really take: by class, beside their estimates, and by machine, beside the other tasks of their jobs. */
 import type { Logger } from "../runtime/log.js";
-import type { Job, Machine, Placement } from "../workers/model.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
+import type { Placement } from "../workers/placement.js";
 
 /** The weight of one more task in what is known of a class's estimates. */
 const CLASS_WEIGHT = 0.1;
--- a/src/workers/fleet.ts
+++ b/src/workers/fleet.ts
@@ -1,4 +1,4 @@
-/** All rented machines by name, followed from their groups' records; and how records change with their machines. */
+/** All rented machines by host, as read from the records of their groups; and the writes that change these records. */
 import type { Logger } from "../runtime/log.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
@@ -11,13 +11,16 @@
   type MachineStage,
 } from "./machine-records.js";
 
+/** A group as its record has it. */
 interface KnownGroup {
+  /** The version of the record. */
   version: number;
   group: MachineGroup;
 }
 
 /** Writes that change machine records, and which machines they are about. */
 export interface FleetChange {
+  /** That the records are still as they were when the writes were made. */
   conditions: Condition[];
   writes: Write[];
   /** The machines that the writes change. */
@@ -31,19 +34,22 @@
 
   constructor(private readonly log: Logger) {}
 
+  /** The record of one machine; undefined if there is none. */
   get(host: string): MachineRecord | undefined {
     return this.machines.get(host);
   }
 
+  /** All machines with their hosts. */
   all(): IterableIterator<[string, MachineRecord]> {
     return this.machines.entries();
   }
 
+  /** How many machines there are. */
   get size(): number {
     return this.machines.size;
   }
 
-  /** Takes in changed records; null: everything may be different. */
+  /** Applies changed records; where `changes` is null, everything may have changed and is read again. */
   applyChanges(view: ReplicaView, changes: RecordChange[] | null): void {
     if (changes === null) {
       for (const key of this.groups.keys()) if (view.get(key) === undefined) this.dropGroup(key);
@@ -60,7 +66,7 @@
     const group = readMachineGroup(change.value);
     // A record that cannot be read proves nothing: its machines stay as they were known.
     if (group === null) {
-      this.log.error({ key: change.key }, "unreadable machine record");
+      this.log.error({ key: change.key }, "machine record unreadable");
       return;
     }
     this.dropGroup(change.key);
@@ -78,41 +84,49 @@
   }
 
   /**
-   * The writes that bring machines to another stage, or take them out of their records (null): one a group, each on
-   * the condition that the group is as we know it. What is over `room` writes is left out.
+   * The writes that bring machines to another stage, or remove them from their records (null): one a group, each on
+   * the condition that the group is unchanged. Groups past `maxWrites` are left out.
    */
-  changeStage(hosts: string[], to: MachineStage | null, room: number): FleetChange {
-    const guards: Condition[] = [];
-    const writes: Write[] = [];
-    const changed: string[] = [];
+  changeStage(hosts: string[], stage: MachineStage | null, maxWrites: number): FleetChange {
+    const change: FleetChange = { conditions: [], writes: [], hosts: [] };
     for (const [key, members] of this.hostsByGroup(hosts)) {
-      if (writes.length >= room) break;
+      if (change.writes.length >= maxWrites) break;
       const { version, group } = this.groups.get(key)!;
       const others = Object.entries(group.machines).filter(([host]) => !members.includes(host));
-      const moved = to === null ? [] : members.map((host) => [host, to] as const);
-      const machines = Object.fromEntries([...others, ...moved]);
-      guards.push({ key, version });
-      const empty = Object.keys(machines).length === 0;
-      writes.push(empty ? { remove: key } : { put: key, value: { ...group, machines } });
-      changed.push(...members);
+      const changed = stage === null ? [] : members.map((host) => [host, stage] as const);
+      const machines = Object.fromEntries([...others, ...changed]);
+      change.conditions.push({ key, version });
+      const isEmpty = Object.keys(machines).length === 0;
+      change.writes.push(isEmpty ? { remove: key } : { put: key, value: { ...group, machines } });
+      change.hosts.push(...members);
     }
-    return { conditions: guards, writes, hosts: changed };
+    return change;
   }
 
-  /** The writes that pass machines to another shard: out of their groups, into new ones under names not used before. */
-  transferToShard(hosts: string[], shard: number, name: () => string, room: number): FleetChange {
-    const found: FleetChange = { conditions: [], writes: [], hosts: [] };
+  /**
+   * The writes that transfer machines to another shard: out of their groups, into new ones. Groups past `maxWrites`
+   * are left out.
+   *
+   * @param newGroupName gives a name that was never used before
+   */
+  transferToShard(
+    hosts: string[],
+    shard: number,
+    newGroupName: () => string,
+    maxWrites: number,
+  ): FleetChange {
+    const change: FleetChange = { conditions: [], writes: [], hosts: [] };
     for (const [key, members] of this.hostsByGroup(hosts)) {
-      if (found.writes.length + 2 > room) break;
-      const out = this.changeStage(members, null, 1);
+      if (change.writes.length + 2 > maxWrites) break;
+      const removal = this.changeStage(members, null, 1);
       const { group } = this.groups.get(key)!;
       const machines = Object.fromEntries(members.map((host) => [host, group.machines[host]!]));
-      const fresh = keys.machineGroup(name());
-      found.conditions.push(...out.conditions, { key: fresh, version: 0 });
-      found.writes.push(...out.writes, { put: fresh, value: { ...group, shard, machines } });
-      found.hosts.push(...members);
+      const newKey = keys.machineGroup(newGroupName());
+      change.conditions.push(...removal.conditions, { key: newKey, version: 0 });
+      change.writes.push(...removal.writes, { put: newKey, value: { ...group, shard, machines } });
+      change.hosts.push(...members);
     }
-    return found;
+    return change;
   }
 
   private hostsByGroup(hosts: string[]): Map<string, string[]> {
--- a/src/workers/lease-renewal.ts
+++ b/src/workers/lease-renewal.ts
@@ -1,23 +1,26 @@
 /**
- * The one decision on whether a worker's report may be answered with a token. Such an answer renews the worker's lease and
- * with it every task on the machine, so that it must not go out without a right to act, on a copy of the records that may
- * lack a confirmed cancellation, or without the stop of a task whose cancellation is known. Pure.
+ * The one decision on whether a worker's heartbeat may be answered with a token. Such a response renews the worker's lease
+ * and with it every task on the machine, so that it must not be sent without authority over the shard, on a view of the
+ * records that may lack a confirmed cancellation, or without the stop of a task whose cancellation is known. Pure.
  */
 import type { ShardAuthority, AuthorityRefusal } from "../membership/shard-authority.js";
 import type { WorkerCommand, TaskStatus, Heartbeat } from "../wire/index.js";
 
-/** Why a report is not answered with a token. The last three would break a rule, and mean a fault in this program. */
+/**
+ * Why a heartbeat is not answered with a token. Operators are shown these reasons. The last three would break a rule, and
+ * mean a fault in this program.
+ */
 export type RenewalRefusal =
   | AuthorityRefusal
   /** The worker has followed an owner with a higher token. */
   | "newer_token"
-  /** The report is no newer than one that was answered, or its machine is not the shard's. */
+  /** The heartbeat is no newer than one that was answered, or its machine is not the shard's. */
   | "report_not_newer"
-  /** The shard's own copy of the records is older than it may be, although the process's copy is not. */
+  /** The shard's own view of the records is older than it may be, although the process's view is not. */
   | "shard_behind_view"
-  /** A task that the records no longer have would go on. */
+  /** A task of a job that the records no longer have would go on. */
   | "ended_task_kept"
-  /** A task that the records no longer have would start. */
+  /** A task of a job that the records no longer have would start. */
   | "ended_task_started";
 
 /** The refusals that show a fault of this program rather than of its surroundings. */
@@ -27,59 +30,59 @@
   "ended_task_started",
 ]);
 
-/** The right to answer reports of a shard, or the reason why there is none. */
+/** Whether a heartbeat may be answered with a token, and the age of the view on which that was decided. */
 export type RenewalPermission =
-  | { allowed: true; token: number; copyAgeMs: number }
-  | { allowed: false; reason: RenewalRefusal; copyAgeMs: number };
+  | { allowed: true; token: number; shardViewAgeMs: number }
+  | { allowed: false; reason: RenewalRefusal; shardViewAgeMs: number };
 
-/** What the right to answer is decided on. */
+/** What a permission is decided on. */
 export interface RenewalEvidence {
   authority: ShardAuthority;
   /** The highest token that the worker has seen. */
   workerToken: number;
-  /** Since when the shard's own copy of the records, on which its commands are decided, is surely complete. */
+  /** For how long the shard's own view of the records, on which its commands are decided, may have been incomplete. */
   shardViewAgeMs: number;
+  /** From this age on a view is too old to renew a lease. */
   staleMs: number;
 }
 
-/** Decides whether a report may be answered at all, before anything is decided on it. */
-export function decideRenewalPermission({
-  authority,
-  workerToken,
-  shardViewAgeMs: copyAgeMs,
-  staleMs,
-}: RenewalEvidence): RenewalPermission {
-  const refused = (reason: RenewalRefusal): RenewalPermission => ({ allowed: false, reason, copyAgeMs });
-  if (!authority.held) return refused(authority.reason);
-  if (workerToken > authority.token) return refused("newer_token");
-  // Guards against checking one copy's age and deciding on another: a shard that missed a change must not go on.
-  if (copyAgeMs >= staleMs) return refused("shard_behind_view");
-  return { allowed: true, token: authority.token, copyAgeMs };
+/** Decides whether a heartbeat may be answered at all, before it is reconciled. */
+export function decideRenewalPermission(evidence: RenewalEvidence): RenewalPermission {
+  const { authority, workerToken, shardViewAgeMs, staleMs } = evidence;
+  if (!authority.held) return { allowed: false, reason: authority.reason, shardViewAgeMs };
+  if (workerToken > authority.token) return { allowed: false, reason: "newer_token", shardViewAgeMs };
+  // Guards against checking one view's age and deciding on another: a shard that missed a change must not go on.
+  if (shardViewAgeMs >= staleMs) return { allowed: false, reason: "shard_behind_view", shardViewAgeMs };
+  return { allowed: true, token: authority.token, shardViewAgeMs };
 }
 
-/** Why an answer may not go out, and the task that it concerns. */
+/** Why a response may not be sent, and the task that it concerns. */
 export interface RejectedRenewal {
   reason: Extract<RenewalRefusal, "ended_task_kept" | "ended_task_started">;
+  /** As "job/index". */
   task: string;
 }
 
-/** An answer that may go out. Only `decide` makes one, so that no path can answer a worker without the decision. */
+/** A response that may be sent. Only `decide` makes one, so that no path can renew a lease without the decision. */
 export class LeaseRenewal {
   private constructor(
     readonly token: number,
     readonly commands: readonly WorkerCommand[],
   ) {}
 
-  /** Checks an answer against what its owner knows: see `docs/design.md`, "Cancellation". */
+  /**
+   * Checks a response against what its owner knows: see `docs/design.md`, "Cancellation".
+   *
+   * @param isLive whether the records, as the owner knows them, still have a job
+   */
   static decide(
     token: number,
-    report: Heartbeat,
+    heartbeat: Heartbeat,
     commands: readonly WorkerCommand[],
-    /** Whether the records, as the owner knows them, still have a job. */
     isLive: (job: string) => boolean,
   ): LeaseRenewal | RejectedRenewal {
-    for (const task of report.tasks)
-      if (task.state !== "exited" && !isLive(task.job) && !stops(commands, task))
+    for (const task of heartbeat.tasks)
+      if (task.state !== "exited" && !isLive(task.job) && !stopsAtOnce(commands, task))
         return { reason: "ended_task_kept", task: `${task.job}/${task.index}` };
     for (const command of commands)
       if (command.op === "start" && !isLive(command.job))
@@ -88,8 +91,8 @@
   }
 }
 
-/** Whether the commands end a task at once: grace for saving would let it run on. */
-function stops(commands: readonly WorkerCommand[], { job, index, attempt }: TaskStatus): boolean {
+/** Whether the commands stop a task without a grace period, in which it would run on. */
+function stopsAtOnce(commands: readonly WorkerCommand[], { job, index, attempt }: TaskStatus): boolean {
   return commands.some(
     (command) =>
       command.op === "stop" &&
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -1,10 +1,10 @@
 /**
  * The records of rented machines. Machines that were rented together are kept in one record: a fleet of hundreds changes
- * within the few writes a second that the state service takes.
+ * within the few writes a second that the state store takes.
  */
 import * as z from "zod";
 
-/** `booting`: never spoke to an owner, and nothing is placed on it. `leaving`: selected for removal. */
+/** `booting`: has sent no heartbeat yet, and nothing is placed on it. `leaving`: selected for removal. */
 const stage = z.enum(["booting", "up", "leaving"]);
 /** How far a machine is in its life. */
 export type MachineStage = z.infer<typeof stage>;
@@ -14,12 +14,12 @@
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
-  /** Time of day of the order, or of when they were first seen. */
+  /** Time of day in milliseconds of the rental order, or of when the machines were first seen. */
   since: z.number(),
   machines: z.record(z.string(), stage),
 });
 
-/** Machines that were rented together, in one record. */
+/** Machines that were rented together: the value of one record as it is stored, so that it is written as it is. */
 export type MachineGroup = z.infer<typeof groupSchema>;
 
 /** One machine, as its group's record has it. */
@@ -28,17 +28,18 @@
   groupKey: string;
   /** Whether it has been selected for removal. */
   draining: boolean;
-  /** Whether it has ever spoken to an owner. Nothing is placed on it before this is written. */
+  /** Whether an owner has ever received a heartbeat of it. Nothing is placed on it before this is written. */
   hasReported: boolean;
 }
 
+/** Reads the stored value of a group's record; null if it is not one. Unknown fields are dropped. */
 export const readMachineGroup = (value: unknown): MachineGroup | null =>
   groupSchema.safeParse(value).data ?? null;
 
-/** One machine out of its group's record. */
+/** One machine of a group; `key` is that of the group's record. */
 export function machineRecordFrom(key: string, group: MachineGroup, host: string): MachineRecord {
   const { shard, type, zone, spot, since } = group;
-  const is = group.machines[host];
+  const machineStage = group.machines[host];
   return {
     groupKey: key,
     shard,
@@ -46,12 +47,17 @@
     zone,
     spot,
     since,
-    draining: is === "leaving",
-    hasReported: is !== "booting",
+    draining: machineStage === "leaving",
+    hasReported: machineStage !== "booting",
   };
 }
 
-/** How many machines one record may hold, whatever their names: names have at most 100 characters. */
+/** The most that one machine takes in a record: names have at most 100 characters. */
+const BYTES_PER_MACHINE = 128;
+/** How many machines' bytes are left to the other fields of a record. */
+const MACHINES_IN_OTHER_FIELDS = 4;
+
+/** How many machines one record may hold, whatever their names; `valueBytes` is the largest value of the store. */
 export function maxMachinesPerGroup(valueBytes: number): number {
-  return Math.max(1, Math.floor(valueBytes / 128) - 4);
+  return Math.max(1, Math.floor(valueBytes / BYTES_PER_MACHINE) - MACHINES_IN_OTHER_FIELDS);
 }
--- /dev/null
+++ b/src/workers/resources.ts
@@ -0,0 +1,22 @@
+/** Resources of tasks and machines, and sums of them. */
+
+/** Processors, graphics cards and memory. */
+export interface Resources {
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+}
+
+/** Adds resources to a sum in place. */
+export function addResources(sum: Resources, { cpus, gpus, memoryGb }: Readonly<Resources>): void {
+  sum.cpus += cpus;
+  sum.gpus += gpus;
+  sum.memoryGb += memoryGb;
+}
+
+/** Subtracts resources from a sum in place. */
+export function subtractResources(sum: Resources, { cpus, gpus, memoryGb }: Readonly<Resources>): void {
+  sum.cpus -= cpus;
+  sum.gpus -= gpus;
+  sum.memoryGb -= memoryGb;
+}
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -9,7 +9,9 @@
 import { SpeedTracker } from "../src/shards/speed-tracker.js";
 import type { PlacementInput } from "../src/placement/scheduling-context.js";
 import type { JobSpec } from "../src/wire/index.js";
-import { attach, Job, Machine, type Placement } from "../src/workers/model.js";
+import { attach, type Placement } from "../src/workers/placement.js";
+import { Job } from "../src/workers/job.js";
+import { Machine } from "../src/workers/machine.js";
 import { jobSpec, silent, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -12,7 +12,7 @@
 import { keys } from "../src/state/keys.js";
 import type { WorkerCommand, TaskStatus, Heartbeat } from "../src/wire/index.js";
 import { decideRenewalPermission, LeaseRenewal, type RenewalEvidence } from "../src/workers/lease-renewal.js";
-import { limitCommands } from "../src/workers/heartbeat-reconciliation.js";
+import { limitCommands } from "../src/workers/worker-commands.js";
 import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 
@@ -83,7 +83,7 @@
     shardViewAgeMs: 100,
     staleMs: STALE_MS,
   };
-  assert.deepEqual(decideRenewalPermission(evidence), { allowed: true, token: 7, copyAgeMs: 100 });
+  assert.deepEqual(decideRenewalPermission(evidence), { allowed: true, token: 7, shardViewAgeMs: 100 });
   const reasonOf = (over: Partial<typeof evidence>): string => {
     const right = decideRenewalPermission({ ...evidence, ...over });
     return right.allowed ? "allowed" : right.reason;
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
 import { Shard } from "../src/shards/shard.js";
-import { Machine } from "../src/workers/model.js";
+import { Machine } from "../src/workers/machine.js";
 import type { Completion } from "../src/shards/completion-log.js";
 import { keys } from "../src/state/keys.js";
 import { parseHeartbeat, type WorkerCommand, type Priority, type Write } from "../src/wire/index.js";
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -19,7 +19,7 @@
 import { SummaryExchange } from "../../src/controller/summary-exchange.js";
 import { parseHeartbeat, parseSubmission, type JobSpec, type Write } from "../../src/wire/index.js";
 import { Fleet } from "../../src/workers/fleet.js";
-import { Job } from "../../src/workers/model.js";
+import { Job } from "../../src/workers/job.js";
 import { submission } from "./cluster.js";
 import { FakeView, jobSpec, silent, smallType } from "./records.js";
 import { testSettings } from "./settings.js";
