--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -9,26 +9,19 @@
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import { CLOCK_DRIFT, type WorkerCommand, type MachineType, type Heartbeat } from "../wire/index.js";
-import { attach, newPlacement, type Job, type Machine, type Placement } from "../workers/model.js";
-import {
-  reconcileHeartbeat,
-  isLive,
-  isNewerHeartbeat,
-  recordResponse,
-  releaseAll,
-} from "../workers/heartbeat-reconciliation.js";
+import { attach, newPlacement, type Placement } from "../workers/placement.js";
+import type { Job } from "../workers/job.js";
+import type { Machine } from "../workers/machine.js";
+import { reconcileHeartbeat, isNewerHeartbeat } from "../workers/heartbeat-reconciliation.js";
+import { isLive } from "../workers/job.js";
+import { recordResponse } from "../workers/lost-responses.js";
+import { releaseAll } from "../workers/placement.js";
 import { slotsPerMachine } from "../placement/capacity.js";
 import type { Completion } from "./completion-log.js";
 import { Cordons } from "./cordons.js";
 import { DecisionMetrics } from "./decision-metrics.js";
 import { FailureTracker } from "./failure-tracker.js";
-import {
-  placeOnMachine,
-  placeRound,
-  buildQueue,
-  type PlacementRound,
-  type PlacementInput,
-} from "../placement/placement-round.js";
+import { placeOnMachine, placeRound, type PlacementRound } from "../placement/placement-round.js";
 import { choosePreemptions } from "../placement/preemption.js";
 import { PreemptionReservations } from "./preemption-reservations.js";
 import { ShardRecords } from "./shard-records.js";
@@ -41,7 +34,8 @@
   type MigrationTerms,
 } from "../placement/migration-policy.js";
 import { computeDemand, measureLoad, summarizeMachine, cpusByTaskState } from "../placement/shard-summary.js";
-import type { QueueEntry } from "../placement/slo-priority.js";
+import { buildQueue, type QueueEntry } from "../placement/job-queue.js";
+import type { PlacementInput } from "../placement/scheduling-context.js";
 
 /** Attempts are a token and a count within its term, so that they never repeat. */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -2,14 +2,16 @@
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
 import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
-import type { PlacementInput } from "../src/placement/placement-round.js";
+import type { PlacementInput } from "../src/placement/scheduling-context.js";
 import { choosePreemptions } from "../src/placement/preemption.js";
 import { RenewalGuard } from "../src/shards/renewal-guard.js";
 import { DecisionMetrics } from "../src/shards/decision-metrics.js";
 import { ShardOwner } from "../src/shards/shard-owner.js";
 import type { Shard } from "../src/shards/shard.js";
 import type { StateStoreClient } from "../src/state/state-store-client.js";
-import { attach, Job, Machine } from "../src/workers/model.js";
+import { attach } from "../src/workers/placement.js";
+import { Job } from "../src/workers/job.js";
+import { Machine } from "../src/workers/machine.js";
 import { Fleet } from "../src/workers/fleet.js";
 import { parseHeartbeat, type JobSpec } from "../src/wire/index.js";
 import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
