--- a/src/autoscaling/demand-record.ts
+++ b/src/autoscaling/demand-record.ts
@@ -1,6 +1,9 @@
 /**
- * A summary as an owner leaves it in the records while it cannot reach the leader: a refused connection between two
+ * The record in which an owner leaves its summary while it cannot reach the leader: a refused connection between two
  * controllers must not keep a shard from getting machines.
+ *
+ * Stored form: `{ token, recovered, demand }`, with `demand` as a list of `{ cpus, gpus, memoryGb, types, zone, spot,
+ * count, priority }`. It stays as it is, since other versions of the program read and write it too.
  */
 import * as z from "zod";
 import type { Demand, MachineSummary, ShardSummary } from "../peers/messages.js";
@@ -10,7 +13,9 @@
   cpus: z.number(),
   gpus: z.number(),
   memoryGb: z.number(),
+  /** Empty: any. */
   types: z.array(z.string()),
+  /** Empty: any. */
   zone: z.string(),
   spot: z.boolean(),
   count: z.number(),
@@ -18,6 +23,7 @@
 }) satisfies z.ZodType<Demand>;
 
 const recordSchema = z.object({
+  /** The fencing token of the owner that wrote it: the summary of an earlier owner proves nothing. */
   token: z.number(),
   recovered: z.boolean(),
   demand: z.array(demandSchema),
@@ -26,27 +32,31 @@
 /** The part of a summary that is worth leaving in the records. */
 export type DemandRecord = z.infer<typeof recordSchema>;
 
-/** What a record takes besides its demand, with room for the longest token. */
-const HEAD_BYTES = 128;
+/** What a record takes besides its demand, with the longest token. */
+const HEADER_BYTES = 128;
+
+/** What stands between two elements of a list. */
+const SEPARATOR_BYTES = 1;
 
 /**
- * Nothing in the record grows with the number of machines: which of them have not spoken yet is in their own records.
- * Demand past what one value holds is left out, the least urgent first: it is told again once the rest has machines.
+ * The record of a summary, in at most `maxBytes` bytes. Nothing in it grows with the number of machines: which of them
+ * have sent no heartbeat yet is in their own records. Demand past the limit is left out, the least urgent first: it is
+ * recorded once the rest has machines.
  */
-export function toDemandRecord({ token, recovered, demand }: ShardSummary, valueBytes: number): DemandRecord {
+export function toDemandRecord({ token, recovered, demand }: ShardSummary, maxBytes: number): DemandRecord {
   const kept: Demand[] = [];
-  let bytes = HEAD_BYTES;
+  let recordBytes = HEADER_BYTES;
   for (const group of demand) {
-    bytes += Buffer.byteLength(JSON.stringify(group)) + 1;
-    if (bytes > valueBytes) break;
+    recordBytes += Buffer.byteLength(JSON.stringify(group)) + SEPARATOR_BYTES;
+    if (recordBytes > maxBytes) break;
     kept.push(group);
   }
   return { token, recovered, demand: kept };
 }
 
 /**
- * Null where the record cannot be read. Machines that their own records show as booting count as such, and all others
- * as busy, so that none is selected for removal by it.
+ * The summary of a shard out of its record; null where the record cannot be read. Machines that their own records show
+ * as booting count as such, and all others as busy, so that none is selected for removal by it.
  */
 export function fromDemandRecord(
   shard: number,
@@ -55,12 +65,12 @@
 ): ShardSummary | null {
   const record = recordSchema.safeParse(value).data;
   if (record === undefined) return null;
-  const summaries = Array.from(machines, ([host, { hasReported: up }]): MachineSummary => ({
+  const machineSummaries = Array.from(machines, ([host, { hasReported }]): MachineSummary => ({
     host,
-    state: up ? "busy" : "booting",
+    state: hasReported ? "busy" : "booting",
     forMs: 0,
     emptyReports: 0,
   }));
   const load = { up: 0, empty: 0, cpus: 0, used: 0, waiting: 0 };
-  return { shard, ...record, machines: summaries, load, rooms: [], waiting: [] };
+  return { shard, ...record, machines: machineSummaries, load, rooms: [], waiting: [] };
 }
--- a/src/autoscaling/machine-listing.ts
+++ b/src/autoscaling/machine-listing.ts
@@ -1,6 +1,10 @@
-/** What the cloud's lists show: read a page a pass, and compared over time. */
+/** What the cloud's lists of machines show: read a page a pass, and compared over time. */
 import type { ListedMachine } from "../wire/index.js";
 
+/** A list in progress is given up, and a machine counts as missing, after so many list lags. */
+const MAX_LIST_LAGS = 2;
+const MISSING_LAGS = 2;
+
 /**
  * Above the cloud's limit a list comes in pages, each of another moment, and the design allows one call a pass. So a
  * list is put together over several passes; a machine is missing only if whole lists have gone without it for longer
@@ -9,48 +13,52 @@
 export class MachineListing {
   private pages: ListedMachine[] = [];
   private startedAt: number | null = null;
-  /** Hosts that a list has shown, and when a list first missed them again. */
-  private readonly seen = new Map<string, { missingSince: number | null }>();
+  /** By host that a list has shown: since when whole lists have gone without it, or null if the last one showed it. */
+  private readonly missingSince = new Map<string, number | null>();
 
+  /** @param lagMs how old the cloud's list may be */
   constructor(private readonly lagMs: number) {}
 
-  /** Whether a list has been begun that is still worth going on with. */
+  /** Whether a list has been begun that is still worth completing. */
   isInProgress(now: number): boolean {
     // Guards against joining pages from before and after an outage of the cloud.
-    if (this.startedAt !== null && now - this.startedAt > 2 * this.lagMs) this.reset();
+    if (this.startedAt !== null && now - this.startedAt > MAX_LIST_LAGS * this.lagMs) this.reset();
     return this.startedAt !== null;
   }
 
-  /** The name after which the next page begins. */
+  /** The host after which the next page begins; undefined for the first page. */
   get after(): string | undefined {
     return this.pages.at(-1)?.host;
   }
 
-  /** Takes in the next page; the whole list if it was the last one. */
+  /** Adds the next page; returns the whole list if it was the last one, and null otherwise. */
   addPage(machines: ListedMachine[], more: boolean, now: number): ListedMachine[] | null {
     this.startedAt ??= now;
     this.pages.push(...machines);
     if (more && machines.length > 0) return null;
-    const all = this.pages;
+    const wholeList = this.pages;
     this.reset();
-    return all;
+    return wholeList;
   }
 
-  /** Hosts of ours that the lists have dropped. */
-  missing(all: ListedMachine[], isOurs: (host: string) => boolean, now: number): string[] {
-    const live = new Set(all.filter((m) => m.state !== "failed").map((m) => m.host));
-    for (const host of live) this.seen.set(host, { missingSince: null });
-    const gone: string[] = [];
-    for (const [host, seen] of this.seen) {
-      if (live.has(host)) continue;
-      if (!isOurs(host)) {
-        this.seen.delete(host);
+  /** Recorded hosts that whole lists have gone without for long enough. */
+  missing(wholeList: ListedMachine[], isRecorded: (host: string) => boolean, now: number): string[] {
+    const liveHosts = new Set(
+      wholeList.filter((machine) => machine.state !== "failed").map((machine) => machine.host),
+    );
+    for (const host of liveHosts) this.missingSince.set(host, null);
+    const missingHosts: string[] = [];
+    for (const [host, knownSince] of this.missingSince) {
+      if (liveHosts.has(host)) continue;
+      if (!isRecorded(host)) {
+        this.missingSince.delete(host);
         continue;
       }
-      seen.missingSince ??= now;
-      if (now - seen.missingSince >= 2 * this.lagMs) gone.push(host);
+      const since = knownSince ?? now;
+      this.missingSince.set(host, since);
+      if (now - since >= MISSING_LAGS * this.lagMs) missingHosts.push(host);
     }
-    return gone;
+    return missingHosts;
   }
 
   private reset(): void {
--- /dev/null
+++ b/src/autoscaling/machine-registration.ts
@@ -0,0 +1,93 @@
+/** Registration of machines that no record names: of a late rental, or there from the start. */
+import { poolKey, type InstancePool } from "../cloud/instance-pool.js";
+import { keys } from "../state/keys.js";
+import type { Condition, Heartbeat, Write } from "../wire/index.js";
+import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
+import { machineGroupWrites, type MachineGroupOrigin } from "./machine-group-writes.js";
+import type { ReturnedMachines } from "./returned-machines.js";
+import type { UnregisteredMachines } from "./unregistered-machines.js";
+
+/** What registration is made from. */
+export interface MachineRegistrationDependencies extends Pick<
+  AutoscalerDependencies,
+  "settings" | "state" | "view" | "fleet" | "clock" | "log"
+> {
+  readonly unregisteredMachines: UnregisteredMachines;
+  readonly returnedMachines: ReturnedMachines;
+}
+
+/** Machines of one shard and one pool. */
+interface NewGroup {
+  origin: MachineGroupOrigin;
+  hosts: string[];
+}
+
+/** Collects machines that are in no record, and records them. */
+export class MachineRegistration {
+  private readonly pools = new Map<string, InstancePool>();
+
+  constructor(private readonly dependencies: MachineRegistrationDependencies) {}
+
+  /** Handles the heartbeat of a machine that is in no record. */
+  receiveHeartbeat(heartbeat: Heartbeat): void {
+    const { unregisteredMachines, returnedMachines, clock } = this.dependencies;
+    const { host, type, zone, spot } = heartbeat;
+    if (returnedMachines.has(host) || !unregisteredMachines.confirm(heartbeat, clock())) return;
+    this.add(host, { type, zone, spot });
+  }
+
+  /** Adds a machine that the next pass is to record. */
+  add(host: string, pool: InstancePool): void {
+    this.pools.set(host, pool);
+  }
+
+  /**
+   * Records the machines that were added since the last pass.
+   *
+   * @throws {StateStoreError} where the state store does not answer
+   */
+  async register(leaderCondition: Condition): Promise<void> {
+    const { settings, state, log } = this.dependencies;
+    const groups = this.assignToShards();
+    this.pools.clear();
+    const writes = groups.flatMap(({ origin, hosts }) =>
+      machineGroupWrites(hosts, origin, settings.state.valueBytes),
+    );
+    if (writes.length === 0) return;
+    log.info({ hosts: groups.flatMap(({ hosts }) => hosts) }, "machines registered");
+    const conditions = [leaderCondition, this.registrationCondition()];
+    const registration: Write = { put: keys.machineRegistration, value: { machines: writes.length } };
+    const maxGroups = state.txnOps - 1;
+    await state.compareAndSwap(conditions, [registration, ...writes.slice(0, maxGroups)], "ownership");
+  }
+
+  /** Machines in no record cannot be guarded by their own; this key lets a late copy of the write fail. */
+  private registrationCondition(): Condition {
+    const key = keys.machineRegistration;
+    return { key, version: this.dependencies.view.get(key)?.version ?? 0 };
+  }
+
+  /** Gives each machine to the shard that has the fewest. */
+  private assignToShards(): NewGroup[] {
+    const { fleet, returnedMachines } = this.dependencies;
+    const machineCounts = this.countMachinesByShard();
+    const groups = new Map<string, NewGroup>();
+    for (const [host, pool] of this.pools) {
+      if (fleet.get(host) !== undefined || returnedMachines.has(host)) continue;
+      const shard = machineCounts.indexOf(Math.min(...machineCounts));
+      machineCounts[shard]!++;
+      const key = `${shard}/${poolKey(pool)}`;
+      const group = groups.get(key);
+      if (group) group.hosts.push(host);
+      else groups.set(key, { origin: { ...pool, shard }, hosts: [host] });
+    }
+    return [...groups.values()];
+  }
+
+  private countMachinesByShard(): number[] {
+    const { settings, fleet } = this.dependencies;
+    const counts = Array.from({ length: settings.controllers }, () => 0);
+    for (const [, machine] of fleet.all()) counts[machine.shard] = (counts[machine.shard] ?? 0) + 1;
+    return counts;
+  }
+}
--- /dev/null
+++ b/src/autoscaling/reconciler.ts
@@ -0,0 +1,112 @@
+/** One reconciliation pass after the other: brings the rented machines closer to what the shards need. */
+import { keys } from "../state/keys.js";
+import type { Condition, MachineType } from "../wire/index.js";
+import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
+import { MachineListReader } from "./machine-list-reader.js";
+import { MachineRegistration } from "./machine-registration.js";
+import { MachineReturns } from "./machine-returns.js";
+import { MachineTypeCache } from "./machine-type-cache.js";
+import { PoolRefusals } from "./pool-refusals.js";
+import { RentalOrders } from "./rental-orders.js";
+import type { RentalPlan } from "./rental-plan.js";
+import { ReturnedMachines } from "./returned-machines.js";
+import { decideScaling, type ScalingActions } from "./scaling-policy.js";
+import { ShardRequests } from "./shard-requests.js";
+import { SummaryStore } from "./summary-store.js";
+import { UnregisteredMachines } from "./unregistered-machines.js";
+
+/** Carries out reconciliation passes, each with at most one call to the cloud. */
+export class Reconciler {
+  /** The owners' latest summaries. */
+  readonly summaries: SummaryStore;
+  /** Machines that are in no record. */
+  readonly registration: MachineRegistration;
+  private readonly refusals = new PoolRefusals();
+  private readonly returnedMachines = new ReturnedMachines();
+  private readonly machineTypes: MachineTypeCache;
+  private readonly shardRequests: ShardRequests;
+  private readonly rentalOrders: RentalOrders;
+  private readonly machineReturns: MachineReturns;
+  private readonly listReader: MachineListReader;
+
+  constructor(private readonly dependencies: AutoscalerDependencies) {
+    const { settings, operator, view, fleet, callbacks } = dependencies;
+    const { refusals, returnedMachines } = this;
+    const minHeartbeatGapMs = settings.workers.reportMs / 2;
+    const unregisteredMachines = new UnregisteredMachines(minHeartbeatGapMs, operator.maxMachines);
+    this.summaries = new SummaryStore(view, fleet, operator.passSpacingMs);
+    this.machineTypes = new MachineTypeCache(dependencies);
+    this.shardRequests = new ShardRequests(callbacks, operator.passSpacingMs);
+    this.registration = new MachineRegistration({ ...dependencies, unregisteredMachines, returnedMachines });
+    this.rentalOrders = new RentalOrders({ ...dependencies, machineTypes: this.machineTypes, refusals });
+    this.machineReturns = new MachineReturns({ ...dependencies, unregisteredMachines, returnedMachines });
+    this.listReader = new MachineListReader({
+      ...dependencies,
+      registration: this.registration,
+      returnedMachines,
+      drainMachines: (selection) => this.shardRequests.drainMachines(selection),
+    });
+  }
+
+  /** Starts a term as leader: what was known in an earlier one may have changed. */
+  beginTerm(now: number): void {
+    this.listReader.beginTerm(now);
+    this.summaries.clear();
+    this.returnedMachines.clear();
+    this.refusals.clear();
+  }
+
+  /** Ends the term as leader. */
+  endTerm(): void {
+    this.listReader.endTerm();
+  }
+
+  /**
+   * Makes one pass.
+   *
+   * @param leaderVersion the version of the record that makes this process the leader
+   * @throws {CloudError} where the cloud does not answer
+   * @throws {StateStoreError} where the state store does not answer
+   */
+  async reconcile(leaderVersion: number, now: number): Promise<void> {
+    const leaderCondition: Condition = { key: keys.leader, version: leaderVersion };
+    await this.registration.register(leaderCondition);
+    if (await this.machineTypes.refresh(leaderCondition, now)) return;
+    const types = this.machineTypes.types();
+    if (types.length === 0) return;
+    const actions = this.decide(types, now);
+    await this.shardRequests.send(actions, now);
+    await this.callCloud(leaderCondition, actions.rentalPlan, now);
+  }
+
+  private decide(types: MachineType[], now: number): ScalingActions {
+    const { settings, operator, fleet } = this.dependencies;
+    return decideScaling({
+      types,
+      summaries: Array.from({ length: settings.controllers }, (_, shard) =>
+        this.summaries.latest(shard, now),
+      ),
+      machines: Array.from(fleet.all(), ([host, record]) => ({ ...record, host })),
+      wallNow: Date.now(),
+      hasRefusedLately: (pool) => this.refusals.hasRefusedLately(pool, now),
+      caps: operator,
+      leaseMs: settings.workers.leaseMs,
+    });
+  }
+
+  /** Makes the one call to the cloud of this pass: orders in progress first, then new ones, returns, and the list. */
+  private async callCloud(
+    leaderCondition: Condition,
+    rentalPlan: RentalPlan | null,
+    now: number,
+  ): Promise<void> {
+    const { cloud, callbacks } = this.dependencies;
+    // Nothing is recorded that cannot be sent; a read of the prices shows when the cloud is back.
+    if (!callbacks.mayCallCloud()) return this.machineTypes.probeCloud();
+    if (await this.rentalOrders.resume(leaderCondition)) return;
+    if (rentalPlan !== null && cloud.tryAcquireCall())
+      return this.rentalOrders.place(leaderCondition, rentalPlan);
+    if (await this.machineReturns.returnDrained(leaderCondition)) return;
+    await this.listReader.readPage(now);
+  }
+}
--- /dev/null
+++ b/src/autoscaling/rental-plan.ts
@@ -0,0 +1,75 @@
+/** Which machines to rent: the cheapest pool for a shortage, and one plan for all that need the same pool. Pure. */
+import { poolKey, type InstancePool } from "../cloud/instance-pool.js";
+import { allowsPool, type Demand } from "../peers/messages.js";
+import { slotsPerMachine } from "../placement/capacity.js";
+import { MAX_RENTAL, type MachineType } from "../wire/index.js";
+import type { MachineTypes, ScalingView } from "./scaling-view.js";
+import { machinesNeeded, type Shortage } from "./shortages.js";
+
+/** How many machines of a rental are for one shard. */
+export interface RentalPart {
+  shard: number;
+  count: number;
+}
+
+/** Machines to be rented in one call. */
+export interface RentalPlan extends InstancePool {
+  count: number;
+  /** Which shards it is for, and how many machines each; the first are served first if fewer come. */
+  parts: RentalPart[];
+}
+
+/** The cheapest pool for this demand, per task, among those that have not refused lately; null if there is none. */
+export function findCheapestPool(view: ScalingView, demand: Demand): InstancePool | null {
+  let cheapest: InstancePool | null = null;
+  let lowestPrice = Infinity;
+  for (const type of view.types) {
+    const slots = slotsPerMachine(demand, type);
+    if (slots === 0) continue;
+    for (const pool of poolsOf(type)) {
+      const pricePerTask = (pool.spot ? type.spotPrice : type.price) / slots;
+      if (!allowsPool(demand, pool) || view.hasRefusedLately(pool) || pricePerTask >= lowestPrice) continue;
+      cheapest = pool;
+      lowestPrice = pricePerTask;
+    }
+  }
+  return cheapest;
+}
+
+/**
+ * The plan with the machines added that a shortage takes. A pass makes one call to the cloud, so that a plan for another
+ * pool stays as it is.
+ *
+ * @param machinesLeft how many machines may be rented until the cap on all machines is reached
+ */
+export function planRental(
+  plan: RentalPlan | null,
+  pool: InstancePool,
+  shortage: Shortage,
+  types: MachineTypes,
+  machinesLeft: number,
+): RentalPlan | null {
+  if (plan !== null && poolKey(plan) !== poolKey(pool)) return plan;
+  const extended = plan ?? { ...pool, count: 0, parts: [] };
+  const planned = extended.parts.find((part) => part.shard === shortage.shard)?.count ?? 0;
+  const count = Math.min(
+    machinesNeeded(shortage, pool, types) - planned,
+    shortage.maxMachines,
+    Math.min(machinesLeft, MAX_RENTAL) - extended.count,
+  );
+  return count > 0 ? addMachines(extended, shortage.shard, count) : plan;
+}
+
+/** All pools of a machine type, spot before on demand. */
+function poolsOf(type: MachineType): InstancePool[] {
+  return type.zones.flatMap((zone) => [true, false].map((spot) => ({ type: type.name, zone, spot })));
+}
+
+/** The plan with so many machines more for a shard. */
+function addMachines(plan: RentalPlan, shard: number, count: number): RentalPlan {
+  const isPlanned = plan.parts.some((part) => part.shard === shard);
+  const parts = isPlanned
+    ? plan.parts.map((part) => (part.shard === shard ? { shard, count: part.count + count } : part))
+    : [...plan.parts, { shard, count }];
+  return { ...plan, count: plan.count + count, parts };
+}
--- /dev/null
+++ b/src/autoscaling/shard-balancing.ts
@@ -0,0 +1,136 @@
+/** What shards can do for each other before machines are rented: transfer machines, cordon one, migrate a job. Pure. */
+import { allowsPool, type Demand, type MachineSummary, type ShardSummary } from "../peers/messages.js";
+import { fits, slotsPerMachine } from "../placement/capacity.js";
+import type { MachineTypes, RentedMachine, ScalingView } from "./scaling-view.js";
+import type { Shortage } from "./shortages.js";
+
+/** Idle machines that are transferred to another shard. */
+export interface MachineTransfer {
+  shard: number;
+  targetShard: number;
+  hosts: string[];
+}
+
+/** A request to cordon one machine that suits a demand, so that it becomes empty for another shard. */
+export interface CordonRequest {
+  shard: number;
+  targetShard: number;
+  demand: Demand;
+}
+
+/** A request to migrate a job that has not begun to another shard. */
+export interface JobMigration {
+  shard: number;
+  targetShard: number;
+  job: string;
+}
+
+/** So many heartbeats in a row without a task show that a machine is empty. */
+export const MIN_EMPTY_HEARTBEATS = 2;
+
+/** A shard with unmet demand of its own transfers so many machines, to a shard that has none. */
+const MAX_TRANSFER_DESPITE_DEMAND = 1;
+
+/** Empty machines of another shard that suit the shortage: better than renting, however short they have been empty. */
+export function chooseMachineTransfer(
+  view: ScalingView,
+  shortage: Shortage,
+  types: MachineTypes,
+): MachineTransfer | null {
+  const { shard: targetShard, demand, hasNoMachine } = shortage;
+  for (const [shard, summary] of view.summaries.entries()) {
+    if (shard === targetShard || !summary?.recovered) continue;
+    const hasUnmetDemand = summary.demand.length > 0;
+    if (hasUnmetDemand && !hasNoMachine) continue;
+    const maxMachines = hasUnmetDemand ? MAX_TRANSFER_DESPITE_DEMAND : Infinity;
+    const suitable = findIdleMachines(view, shard, summary).filter((machine) => allowsPool(demand, machine));
+    const hosts = selectMachinesFor(demand, suitable, maxMachines, types);
+    if (hosts.length > 0) return { shard, targetShard, hosts };
+  }
+  return null;
+}
+
+/** Which shard is to cordon a machine: the one with the most that suit, if it has others left. */
+export function chooseCordon(
+  view: ScalingView,
+  { shard: targetShard, demand }: Shortage,
+): CordonRequest | null {
+  let chosen: CordonRequest | null = null;
+  let mostMachines = 1;
+  for (const [shard, summary] of view.summaries.entries()) {
+    if (shard === targetShard || !summary?.recovered) continue;
+    const hostsUp = new Set(summary.machines.filter(isUp).map(({ host }) => host));
+    const suitable = view.machines.filter(
+      (machine) => hostsUp.has(machine.host) && !machine.draining && allowsPool(demand, machine),
+    );
+    if (suitable.length <= mostMachines) continue;
+    chosen = { shard, targetShard, demand };
+    mostMachines = suitable.length;
+  }
+  return chosen;
+}
+
+/** The job that has waited longest of those for which another shard has free capacity that nothing of its own takes. */
+export function chooseJobMigration(summaries: (ShardSummary | undefined)[]): JobMigration | null {
+  let longestWaitMs = -Infinity;
+  let chosen: JobMigration | null = null;
+  for (const [shard, summary] of summaries.entries()) {
+    if (!summary?.recovered) continue;
+    for (const { job, task, waitedMs } of summary.waiting) {
+      if (waitedMs <= longestWaitMs) continue;
+      const targetShard = findShardWithCapacity(summaries, shard, task);
+      if (targetShard === null) continue;
+      longestWaitMs = waitedMs;
+      chosen = { shard, targetShard, job };
+    }
+  }
+  return chosen;
+}
+
+function findIdleMachines(view: ScalingView, shard: number, summary: ShardSummary): RentedMachine[] {
+  const idleHosts = new Set(
+    summary.machines
+      .filter(({ state, emptyReports }) => state === "idle" && emptyReports >= MIN_EMPTY_HEARTBEATS)
+      .map(({ host }) => host),
+  );
+  return view.machines.filter(
+    (machine) => machine.shard === shard && !machine.draining && idleHosts.has(machine.host),
+  );
+}
+
+/** As many machines as the demand takes. */
+function selectMachinesFor(
+  demand: Demand,
+  machines: RentedMachine[],
+  maxMachines: number,
+  types: MachineTypes,
+): string[] {
+  const hosts: string[] = [];
+  let coveredTasks = 0;
+  for (const machine of machines) {
+    if (coveredTasks >= demand.count || hosts.length >= maxMachines) break;
+    const type = types.get(machine.type);
+    if (!type) continue;
+    hosts.push(machine.host);
+    coveredTasks += slotsPerMachine(demand, type);
+  }
+  return hosts;
+}
+
+function isUp({ state }: MachineSummary): boolean {
+  return state === "busy" || state === "idle";
+}
+
+function findShardWithCapacity(
+  summaries: (ShardSummary | undefined)[],
+  exceptShard: number,
+  task: Demand,
+): number | null {
+  const shard = summaries.findIndex(
+    (summary, candidate) =>
+      candidate !== exceptShard &&
+      summary?.recovered &&
+      summary.rooms.some((capacity) => allowsPool(task, capacity) && fits(capacity, task)),
+  );
+  return shard < 0 ? null : shard;
+}
--- a/src/autoscaling/summary-store.ts
+++ b/src/autoscaling/summary-store.ts
@@ -1,37 +1,52 @@
-/** The owners' latest summaries, as long as they say anything. */
+/** The owners' latest summaries, as long as they are recent. */
 import type { ShardSummary } from "../peers/messages.js";
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { Fleet } from "../workers/fleet.js";
 import { fromDemandRecord } from "./demand-record.js";
 
+/** A summary that came from its owner is used for so many passes, and one that was left in the records for so many. */
+const MAX_AGE_PASSES = 4;
+const MAX_RECORD_AGE_PASSES = 8;
+
+interface ReceivedSummary {
+  summary: ShardSummary;
+  receivedAt: number;
+}
+
+/** A version of a record, and the steady time at which it was first seen. */
+interface SeenVersion {
+  version: number;
+  seenAt: number;
+}
+
 /** Summaries that came from owners, and those that were left in the records instead. */
 export class SummaryStore {
-  private readonly summaries: { summary: ShardSummary; at: number }[] = [];
-  /** Summaries left in the records, and when each version was first seen. */
-  private readonly recorded = new Map<number, { version: number; at: number }>();
+  private readonly received: ReceivedSummary[] = [];
+  private readonly seenVersions = new Map<number, SeenVersion>();
 
   constructor(
     private readonly view: ReplicaView,
     private readonly fleet: Fleet,
     /** The time between two reconciliation passes. */
-    private readonly spacingMs: number,
+    private readonly passSpacingMs: number,
   ) {}
 
-  /** Takes in a summary as it comes. */
+  /** Adds a summary that has come from its owner. */
   add(summary: ShardSummary, now: number): void {
-    this.summaries[summary.shard] = { summary, at: now };
+    this.received[summary.shard] = { summary, receivedAt: now };
   }
 
-  /** A new term begins: what owners told in an earlier one says nothing. */
+  /** Forgets what came in an earlier term, which proves nothing in this one. */
   clear(): void {
-    this.summaries.length = 0;
+    this.received.length = 0;
   }
 
-  /** Summaries of owners that have gone quiet say nothing any more. */
+  /** The latest summary of a shard; undefined if there is no recent one. */
   latest(shard: number, now: number): ShardSummary | undefined {
-    const known = this.summaries[shard];
-    if (known !== undefined && now - known.at < 4 * this.spacingMs) return known.summary;
+    const latest = this.received[shard];
+    if (latest !== undefined && now - latest.receivedAt < MAX_AGE_PASSES * this.passSpacingMs)
+      return latest.summary;
     return this.recordedSummary(shard, now);
   }
 
@@ -39,11 +54,14 @@
   private recordedSummary(shard: number, now: number): ShardSummary | undefined {
     const entry = this.view.get(keys.shardDemand(shard));
     if (entry === undefined) return undefined;
-    const seen = this.recorded.get(shard);
-    if (seen?.version !== entry.version) this.recorded.set(shard, { version: entry.version, at: now });
-    else if (now - seen.at >= 8 * this.spacingMs) return undefined;
+    const seen = this.seenVersions.get(shard);
+    if (seen?.version !== entry.version)
+      this.seenVersions.set(shard, { version: entry.version, seenAt: now });
+    else if (now - seen.seenAt >= MAX_RECORD_AGE_PASSES * this.passSpacingMs) return undefined;
     const machines = [...this.fleet.all()].filter(([, machine]) => machine.shard === shard);
     const summary = fromDemandRecord(shard, entry.value, machines);
-    return summary?.token === this.view.get(keys.shard(shard))?.version ? (summary ?? undefined) : undefined;
+    if (summary === null) return undefined;
+    const currentToken = this.view.get(keys.shard(shard))?.version;
+    return summary.token === currentToken ? summary : undefined;
   }
 }
--- a/src/autoscaling/unregistered-machines.ts
+++ b/src/autoscaling/unregistered-machines.ts
@@ -1,36 +1,45 @@
-/** Machines that report although no record names them, until it is sure enough that they are there. */
+/** Machines that send heartbeats although no record names them, until it is certain enough that they exist. */
 import { LRUCache } from "lru-cache";
 import type { Heartbeat } from "../wire/index.js";
 
+/** The first heartbeat of an unregistered machine. */
+interface FirstHeartbeat {
+  epoch: number;
+  sequence: number;
+  receivedAt: number;
+}
+
 /**
- * Guards against registering a machine that has been returned: copies of its reports may come late. A machine is
- * believed to be there only once a second report, newer and some time after the first, has come in.
+ * Guards against registering a machine that has been returned: copies of its heartbeats may come late. A machine counts
+ * as existing only once a second heartbeat, newer and some time after the first, has come in.
  */
 export class UnregisteredMachines {
-  private readonly first: LRUCache<string, { session: number; seq: number; at: number }>;
+  private readonly firstHeartbeats: LRUCache<string, FirstHeartbeat>;
 
+  /**
+   * @param minGapMs the least time between the first heartbeat and the one that confirms it
+   * @param maxMachines how many machines are remembered until their second heartbeat: all that may be rented at a time
+   */
   constructor(
-    private readonly gapMs: number,
-    /** How many unknown machines are remembered until their second report: all that may be rented at a time. */
-    mostMachines: number,
+    private readonly minGapMs: number,
+    maxMachines: number,
   ) {
-    this.first = new LRUCache({ max: mostMachines });
+    this.firstHeartbeats = new LRUCache({ max: maxMachines });
   }
 
-  /** Whether the machine is to be registered. */
-  confirm(report: Pick<Heartbeat, "host" | "epoch" | "sequence">, now: number): boolean {
-    const { host, epoch: session, sequence: seq } = report;
-    const first = this.first.get(host);
+  /** Whether this heartbeat confirms that the machine exists, so that it is to be registered. */
+  confirm({ host, epoch, sequence }: Pick<Heartbeat, "host" | "epoch" | "sequence">, now: number): boolean {
+    const first = this.firstHeartbeats.get(host);
     if (first === undefined) {
-      this.first.set(host, { session, seq, at: now });
+      this.firstHeartbeats.set(host, { epoch, sequence, receivedAt: now });
       return false;
     }
-    const newer = session > first.session || (session === first.session && seq > first.seq);
-    return newer && now - first.at >= this.gapMs;
+    const isNewer = epoch > first.epoch || (epoch === first.epoch && sequence > first.sequence);
+    return isNewer && now - first.receivedAt >= this.minGapMs;
   }
 
-  /** What was heard of a machine that is gone for sure says nothing any more. */
+  /** Forgets the heartbeat of a machine that is surely gone. */
   forget(host: string): void {
-    this.first.delete(host);
+    this.firstHeartbeats.delete(host);
   }
 }
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -181,21 +181,21 @@
   }
 
   private makeAutoscaler(cloud: CloudClient): Autoscaler {
-    return new Autoscaler(
-      this.settings,
-      this.operator,
+    return new Autoscaler({
+      settings: this.settings,
+      operator: this.operator,
       cloud,
-      this.state,
-      this.replica,
-      this.fleet,
-      this.clock,
-      {
+      state: this.state,
+      view: this.replica,
+      fleet: this.fleet,
+      clock: this.clock,
+      callbacks: {
         leadership: () => this.membership.leadership(),
         requestOwner: (shard, request) => this.requestController(this.membership.owner(shard), request),
         mayCallCloud: () => this.links.policy.allows("order"),
       },
-      this.log,
-    );
+      log: this.log,
+    });
   }
 
   private makeJobService(): JobService {
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -45,7 +45,7 @@
       // Only the leader gives machines to shards; the worker comes again until it has.
       const leader = this.parts.membership.leader();
       if (leader !== this.parts.node) return { kind: "redirect", owner: leader };
-      this.parts.autoscaler.tell({ kind: "unknown_machine", report });
+      this.parts.autoscaler.tell({ kind: "unknown_machine", heartbeat: report });
       return { kind: "redirect", owner: null };
     }
     const owner = this.parts.ownerOf(record.shard);
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,5 +1,6 @@
 /** What controllers say to each other. */
 import protobuf from "protobufjs";
+import type { InstancePool } from "../cloud/instance-pool.js";
 
 const schema = `
 syntax = "proto3";
@@ -132,19 +133,12 @@
   priority: string;
 }
 
-/** Where a machine is and what kind it is of. */
-export interface InstancePool {
-  type: string;
-  zone: string;
-  spot: boolean;
-}
-
-/** Whether machines of a place are allowed for such tasks. */
-export function allowsPool(demand: Demand, place: InstancePool): boolean {
+/** Whether machines of a pool may run such tasks. */
+export function allowsPool(demand: Demand, pool: InstancePool): boolean {
   return (
-    (demand.types.length === 0 || demand.types.includes(place.type)) &&
-    (demand.zone === "" || demand.zone === place.zone) &&
-    (demand.spot || !place.spot)
+    (demand.types.length === 0 || demand.types.includes(pool.type)) &&
+    (demand.zone === "" || demand.zone === pool.zone) &&
+    (demand.spot || !pool.spot)
   );
 }
 
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -261,7 +261,7 @@
   const said = { host: "i-9", addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
   const report = parseHeartbeat({ ...said, tenure: 1, tick, baton: 0, pieces: [] });
   if (!report.ok) throw new Error(report.error);
-  return { kind: "unknown_machine", report: report.value } as const;
+  return { kind: "unknown_machine", heartbeat: report.value } as const;
 };
 
 /** An autoscaler that leads, and steps of a second in which it makes a pass. */
@@ -278,24 +278,24 @@
   const fleet = new Fleet(silent);
   const settings = testSettings({ controllers: SHARDS });
   const clock = (): number => now;
-  const hooks = {
+  const callbacks = {
     leadership: () => state.view.get(keys.leader)?.version ?? null,
     requestOwner: () => Promise.resolve({ accepted: { hosts: [] } }),
     mayCallCloud: () => true,
   };
   const client = new CloudClient(cloud, 100, clock, 1000);
   const operator = checkOperatorSettings({});
-  const autoscaler = new Autoscaler(
+  const autoscaler = new Autoscaler({
     settings,
     operator,
-    client,
-    state.client,
-    state.view,
+    cloud: client,
+    state: state.client,
+    view: state.view,
     fleet,
     clock,
-    hooks,
-    silent,
-  );
+    callbacks,
+    log: silent,
+  });
   const pass = async (): Promise<void> => {
     now += operator.passSpacingMs;
     autoscaler.tell({ kind: "tick" });
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -1,7 +1,7 @@
 /** Jobs that pass to another shard: who is chosen, on what terms, and what their own shard goes on counting. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { chooseJobMigration } from "../src/autoscaling/scaling-policy.js";
+import { chooseJobMigration } from "../src/autoscaling/shard-balancing.js";
 import type { FreeCapacity, ShardSummary, MigrationCandidate } from "../src/peers/messages.js";
 import { QuotaReservations } from "../src/shards/quota-reservations.js";
 import { Shard } from "../src/shards/shard.js";
@@ -46,7 +46,7 @@
   });
   assert.deepEqual(chooseJobMigration([giver, summary(1, { rooms: [room(2)] })]), {
     shard: 0,
-    to: 1,
+    targetShard: 1,
     job: "req-3",
   });
 });
