--- a/src/autoscaling/autoscaler-dependencies.ts
+++ b/src/autoscaling/autoscaler-dependencies.ts
@@ -2,7 +2,7 @@
 import type { CloudClient } from "../cloud/cloud-client.js";
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
-import type { PeerReply, PeerRequest } from "../peers/messages.js";
+import type { PeerReply, PeerRequest } from "../peers/peer-messages.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import type { ReplicaView } from "../state/replica.js";
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,6 +1,6 @@
 /** The actor that scales while this process leads: it collects the owners' summaries and starts passes. */
 import { CloudError } from "../cloud/cloud-client.js";
-import type { ShardSummary } from "../peers/messages.js";
+import type { ShardSummary } from "../peers/peer-messages.js";
 import { Actor } from "../runtime/actor.js";
 import { StateStoreError } from "../state/state-store-client.js";
 import type { Heartbeat } from "../wire/index.js";
--- a/src/autoscaling/demand-record.ts
+++ b/src/autoscaling/demand-record.ts
@@ -6,7 +6,7 @@
  * count, priority }`. It stays as it is, since other versions of the program read and write it too.
  */
 import * as z from "zod";
-import type { Demand, MachineSummary, ShardSummary } from "../peers/messages.js";
+import type { Demand, MachineSummary, ShardSummary } from "../peers/peer-messages.js";
 import type { MachineRecord } from "../workers/machine-records.js";
 
 const demandSchema = z.object({
@@ -68,9 +68,9 @@
   const machineSummaries = Array.from(machines, ([host, { hasReported }]): MachineSummary => ({
     host,
     state: hasReported ? "busy" : "booting",
-    forMs: 0,
-    emptyReports: 0,
+    stateForMs: 0,
+    emptyHeartbeats: 0,
   }));
-  const load = { up: 0, empty: 0, cpus: 0, used: 0, waiting: 0 };
-  return { shard, ...record, machines: machineSummaries, load, rooms: [], waiting: [] };
+  const load = { machinesUp: 0, emptyMachines: 0, cpus: 0, usedCpus: 0, waitingCpus: 0 };
+  return { shard, ...record, machines: machineSummaries, load, freeCapacity: [], migrationCandidates: [] };
 }
--- a/src/autoscaling/removal-selection.ts
+++ b/src/autoscaling/removal-selection.ts
@@ -1,5 +1,5 @@
 /** Which machines to return: those that are empty over the idle wait, and those that are lost for good. Pure. */
-import type { MachineSummary } from "../peers/messages.js";
+import type { MachineSummary } from "../peers/peer-messages.js";
 import { usualBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
 import { MIN_EMPTY_HEARTBEATS } from "./shard-balancing.js";
 
@@ -47,13 +47,13 @@
   switch (reported.state) {
     case "idle":
       return isIdleForTooLong(reported, machine, view, types);
-    case "sick":
+    case "quarantined":
       return true;
     // Guards against returning what has just been transferred: its rental is long ago, and no heartbeat of it has reached
     // its new owner yet.
-    case "silent":
-    case "joining":
-      return !ownerCutOff && reported.forMs >= view.leaseMs;
+    case "lease_expired":
+    case "awaiting_heartbeat":
+      return !ownerCutOff && reported.stateForMs >= view.leaseMs;
     case "booting":
       return hasBootFailed(machine, view, types);
     case "busy":
@@ -69,7 +69,7 @@
   types: MachineTypes,
 ): boolean {
   const idleWaitMs = view.caps.idleWaitMs ?? IDLE_WAIT_BOOT_FRACTION * usualBootMs(machine, types);
-  return reported.forMs >= idleWaitMs && reported.emptyReports >= MIN_EMPTY_HEARTBEATS;
+  return reported.stateForMs >= idleWaitMs && reported.emptyHeartbeats >= MIN_EMPTY_HEARTBEATS;
 }
 
 function hasBootFailed(machine: RentedMachine, view: ScalingView, types: MachineTypes): boolean {
@@ -79,9 +79,9 @@
 
 /** Guards against returning a whole fleet because its heartbeats do not reach their owner. */
 function isOwnerCutOff(machines: MachineSummary[]): boolean {
-  const expired = machines.filter(({ state }) => state === "silent").length;
+  const expired = machines.filter(({ state }) => state === "lease_expired").length;
   const reachable = machines.filter(
-    ({ state }) => state === "idle" || state === "busy" || state === "sick",
+    ({ state }) => state === "idle" || state === "busy" || state === "quarantined",
   ).length;
   return expired > reachable;
 }
--- a/src/autoscaling/rental-plan.ts
+++ b/src/autoscaling/rental-plan.ts
@@ -1,13 +1,13 @@
 /** Which machines to rent: the cheapest pool for a shortage, and one plan for all that need the same pool. Pure. */
 import { poolKey, type InstancePool } from "../cloud/instance-pool.js";
-import { allowsPool, type Demand } from "../peers/messages.js";
+import { allowsPool, type Demand } from "../peers/peer-messages.js";
 import { slotsPerMachine } from "../placement/capacity.js";
 import { MAX_RENTAL, type MachineType } from "../wire/index.js";
 import type { MachineTypes, ScalingView } from "./scaling-view.js";
 import { machinesNeeded, type Shortage } from "./shortages.js";
 
 /** How many machines of a rental are for one shard. */
-export interface RentalPart {
+interface RentalPart {
   shard: number;
   count: number;
 }
--- a/src/autoscaling/scaling-view.ts
+++ b/src/autoscaling/scaling-view.ts
@@ -1,7 +1,7 @@
 /** What one reconciliation pass decides on. */
 import type { InstancePool } from "../cloud/instance-pool.js";
 import type { OperatorSettings } from "../config/operator.js";
-import type { ShardSummary } from "../peers/messages.js";
+import type { ShardSummary } from "../peers/peer-messages.js";
 import type { MachineType } from "../wire/index.js";
 import type { MachineRecord } from "../workers/machine-records.js";
 
--- a/src/autoscaling/shard-balancing.ts
+++ b/src/autoscaling/shard-balancing.ts
@@ -1,5 +1,5 @@
 /** What shards can do for each other before machines are rented: transfer machines, cordon one, migrate a job. Pure. */
-import { allowsPool, type Demand, type MachineSummary, type ShardSummary } from "../peers/messages.js";
+import { allowsPool, type Demand, type MachineSummary, type ShardSummary } from "../peers/peer-messages.js";
 import { fits, slotsPerMachine } from "../placement/capacity.js";
 import type { MachineTypes, RentedMachine, ScalingView } from "./scaling-view.js";
 import type { Shortage } from "./shortages.js";
@@ -76,7 +76,7 @@
   let chosen: JobMigration | null = null;
   for (const [shard, summary] of summaries.entries()) {
     if (!summary?.recovered) continue;
-    for (const { job, task, waitedMs } of summary.waiting) {
+    for (const { job, task, waitedMs } of summary.migrationCandidates) {
       if (waitedMs <= longestWaitMs) continue;
       const targetShard = findShardWithCapacity(summaries, shard, task);
       if (targetShard === null) continue;
@@ -90,7 +90,7 @@
 function findIdleMachines(view: ScalingView, shard: number, summary: ShardSummary): RentedMachine[] {
   const idleHosts = new Set(
     summary.machines
-      .filter(({ state, emptyReports }) => state === "idle" && emptyReports >= MIN_EMPTY_HEARTBEATS)
+      .filter(({ state, emptyHeartbeats }) => state === "idle" && emptyHeartbeats >= MIN_EMPTY_HEARTBEATS)
       .map(({ host }) => host),
   );
   return view.machines.filter(
@@ -130,7 +130,7 @@
     (summary, candidate) =>
       candidate !== exceptShard &&
       summary?.recovered &&
-      summary.rooms.some((capacity) => allowsPool(task, capacity) && fits(capacity, task)),
+      summary.freeCapacity.some((capacity) => allowsPool(task, capacity) && fits(capacity, task)),
   );
   return shard < 0 ? null : shard;
 }
--- a/src/autoscaling/shard-requests.ts
+++ b/src/autoscaling/shard-requests.ts
@@ -1,5 +1,5 @@
 /** Requests of the leader to the owners of shards; one that fails is made again by a later pass. */
-import type { PeerRequest } from "../peers/messages.js";
+import type { PeerRequest } from "../peers/peer-messages.js";
 import type { AutoscalerCallbacks } from "./autoscaler-dependencies.js";
 import type { MachineSelection } from "./removal-selection.js";
 import type { ScalingActions } from "./scaling-policy.js";
@@ -28,21 +28,21 @@
 
   /** Requests the owner of a shard to drain machines. */
   drainMachines(selection: MachineSelection): Promise<void> {
-    return this.request(selection.shard, { drain: selection });
+    return this.request(selection.shard, { drainMachines: selection });
   }
 
-  private transferMachines({ shard, targetShard, hosts }: MachineTransfer): Promise<void> {
-    return this.request(shard, { give: { shard, to: targetShard, hosts } });
+  private transferMachines(transfer: MachineTransfer): Promise<void> {
+    return this.request(transfer.shard, { transferMachines: transfer });
   }
 
-  private cordonMachine({ shard, targetShard, demand }: CordonRequest): Promise<void> {
-    return this.request(shard, { cordon: { shard, to: targetShard, demand } });
+  private cordonMachine(cordon: CordonRequest): Promise<void> {
+    return this.request(cordon.shard, { cordonMachine: cordon });
   }
 
-  private async migrateJob({ shard, targetShard, job }: JobMigration, now: number): Promise<void> {
+  private async migrateJob(migration: JobMigration, now: number): Promise<void> {
     if (now - this.lastMigrationAt < PASSES_BETWEEN_MIGRATIONS * this.passSpacingMs) return;
     this.lastMigrationAt = now;
-    await this.request(shard, { transfer: { shard, to: targetShard, job } });
+    await this.request(migration.shard, { migrateJob: migration });
   }
 
   private async request(shard: number, request: PeerRequest): Promise<void> {
--- a/src/autoscaling/shortages.ts
+++ b/src/autoscaling/shortages.ts
@@ -1,6 +1,6 @@
 /** What the shards lack: their unmet demand beyond what booting machines will take. Pure. */
 import type { InstancePool } from "../cloud/instance-pool.js";
-import { allowsPool, type Demand, type MachineCondition, type ShardSummary } from "../peers/messages.js";
+import { allowsPool, type Demand, type MachineCondition, type ShardSummary } from "../peers/peer-messages.js";
 import { ROUNDING_TOLERANCE, slotsPerMachine } from "../placement/capacity.js";
 import { PRIORITIES, type Priority } from "../wire/index.js";
 import { usualBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
@@ -85,7 +85,7 @@
   const unmetDemand = findUnmetDemand(summary.demand, booting, types, allowance);
   const mostUrgent = unmetDemand[0];
   if (mostUrgent === undefined) return null;
-  const usable = ownMachines.filter((machine) => conditions.get(machine.host) !== "silent");
+  const usable = ownMachines.filter((machine) => conditions.get(machine.host) !== "lease_expired");
   const withoutMachine = unmetDemand.find((demand) => !usable.some((machine) => allowsPool(demand, machine)));
   return {
     shard,
@@ -143,7 +143,7 @@
   wallNow: number,
 ): boolean {
   const condition = conditions.get(machine.host) ?? "booting";
-  if (condition === "joining") return true;
+  if (condition === "awaiting_heartbeat") return true;
   if (condition !== "booting") return false;
   return wallNow - machine.since < LATE_BOOT_FACTOR * usualBootMs(machine, types);
 }
--- a/src/autoscaling/summary-store.ts
+++ b/src/autoscaling/summary-store.ts
@@ -1,5 +1,5 @@
 /** The owners' latest summaries, as long as they are recent. */
-import type { ShardSummary } from "../peers/messages.js";
+import type { ShardSummary } from "../peers/peer-messages.js";
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { Fleet } from "../workers/fleet.js";
--- a/src/cli/link-report.ts
+++ b/src/cli/link-report.ts
@@ -7,7 +7,7 @@
   statusRows,
   type LinkStatus,
 } from "../links/status.js";
-import type { PeerNetwork } from "../peers/network.js";
+import type { PeerNetwork } from "../peers/peer-network.js";
 
 /** What a controller answered, or null where it did not. */
 export interface NodeReport {
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -13,8 +13,8 @@
 import { ShardAssignment } from "../jobs/shard-assignment.js";
 import { JobService } from "../jobs/job-service.js";
 import { Membership } from "../membership/membership.js";
-import type { PeerReply, PeerRequest } from "../peers/messages.js";
-import type { PeerNetwork, LinkViewExchange } from "../peers/network.js";
+import type { PeerReply, PeerRequest } from "../peers/peer-messages.js";
+import type { PeerNetwork, LinkViewExchange } from "../peers/peer-network.js";
 import { DecisionMetrics } from "../shards/decision-metrics.js";
 import { ShardHost } from "./shard-host.js";
 import { LinkMonitoring } from "./link-monitoring.js";
@@ -124,7 +124,7 @@
           this.shards.reconcileOwnership();
         },
         requestHandOver: (owner, shard, to) =>
-          void this.requestController(owner, { handOver: { shard, to } }).catch(() => undefined),
+          void this.requestController(owner, { handOver: { shard, targetNode: to } }).catch(() => undefined),
         isCutOffFromWorkers: (node) => this.links.policy.cannotHearWorkers(node),
       },
       this.log,
@@ -306,10 +306,10 @@
 
   private async forward(peer: string, { method, path, body }: UserRequest): Promise<UserResponse> {
     const text = body === undefined ? "" : JSON.stringify(body);
-    const request = { forward: { method, path, body: text } };
+    const request = { forwardUserRequest: { method, path, body: text } };
     const reply = await this.peers.request(peer, request, this.timings.lookupTimeoutMs);
-    if (!("answer" in reply)) return { status: 503, body: { error: "no answer" } };
-    return { status: reply.answer.status, body: parseJson(reply.answer.body) ?? {} };
+    if (!("userResponse" in reply)) return { status: 503, body: { error: "no answer" } };
+    return { status: reply.userResponse.status, body: parseJson(reply.userResponse.body) ?? {} };
   }
 
   private tick(): void {
@@ -373,14 +373,14 @@
    * it otherwise, and the bound on the age of its view holds whether or not this arrives.
    */
   private notifyOwnerOfCancellation(shard: number, job: string): void {
-    this.requestController(this.membership.owner(shard), { cancelled: { shard, job } }).catch(
+    this.requestController(this.membership.owner(shard), { jobCancelled: { shard, job } }).catch(
       () => undefined,
     );
   }
 
   private async taskCounts(shard: number, job: string): Promise<{ done: number; running: number } | null> {
     const reply = await this.requestController(this.membership.owner(shard), {
-      lookup: { shard, job },
+      taskCounts: { shard, job },
     }).catch(() => null);
     return reply !== null && "counts" in reply && reply.counts.known ? reply.counts : null;
   }
--- a/src/controller/dependencies.ts
+++ b/src/controller/dependencies.ts
@@ -1,6 +1,7 @@
 /** What a controller reaches from inside: a clock and the network. Tests put stand-ins in their place. */
 import type { Settings } from "../config/settings.js";
-import { TcpPeerNetwork, type PeerNetwork } from "../peers/network.js";
+import type { PeerNetwork } from "../peers/peer-network.js";
+import { TcpPeerNetwork } from "../peers/tcp-peer-network.js";
 import { steadyClock, type SteadyClock } from "../runtime/clock.js";
 import { HttpJsonClient, type JsonClient } from "../runtime/json-client.js";
 import type { Logger } from "../runtime/log.js";
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -3,7 +3,7 @@
 import type { HeartbeatRouting } from "../http/heartbeats.js";
 import type { LinkMonitoring } from "./link-monitoring.js";
 import type { Membership } from "../membership/membership.js";
-import type { PeerReply, PeerRequest } from "../peers/messages.js";
+import type { PeerReply, PeerRequest } from "../peers/peer-messages.js";
 import type { ShardOwner } from "../shards/shard-owner.js";
 import type { HeartbeatResponse } from "../shards/shard-owner-messages.js";
 import { RedirectedWorkers } from "./redirected-workers.js";
@@ -78,7 +78,7 @@
     if (now - (this.misroutedAt.get(shard) ?? -Infinity) < this.parts.misroutedSpacingMs) return;
     this.misroutedAt.set(shard, now);
     this.parts
-      .askNode(owner, { misroutedHeartbeat: { shard, cameTo: this.parts.node } })
+      .askNode(owner, { misroutedHeartbeat: { shard, receivedBy: this.parts.node } })
       .catch(() => undefined);
   }
 
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -11,8 +11,8 @@
 import { deriveLinkTimings } from "../links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../links/status.js";
 import type { Membership } from "../membership/membership.js";
-import type { PeerNetwork } from "../peers/network.js";
-import { ObservedPeerNetwork } from "../peers/observed-network.js";
+import type { PeerNetwork } from "../peers/peer-network.js";
+import { ObservedPeerNetwork } from "../peers/observed-peer-network.js";
 import type { Logger } from "../runtime/log.js";
 import type { ShardHost } from "./shard-host.js";
 import type { Timings } from "./timings.js";
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -3,7 +3,7 @@
 import type { UserRequestHandler } from "../http/user-requests.js";
 import type { LinkStatus } from "../links/status.js";
 import type { Membership } from "../membership/membership.js";
-import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/messages.js";
+import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/peer-messages.js";
 import type { ShardOwner } from "../shards/shard-owner.js";
 import { parseJson } from "../runtime/json-client.js";
 
@@ -35,35 +35,37 @@
     const { summary } = request;
     const notes = recordSummary(summary);
     await autoscaler.ask<boolean>((reply) => ({ kind: "summary", summary, reply }));
-    return { loads: { notes } };
+    return { loads: { shards: notes } };
   }
   if ("linkStatus" in request) return { linkReport: { json: JSON.stringify(targets.linkStatus()) } };
-  if ("forward" in request) return handleForwarded(request.forward, users);
-  if ("lookup" in request) {
-    const { shard, job } = request.lookup;
+  if ("forwardUserRequest" in request) return handleForwarded(request.forwardUserRequest, users);
+  if ("taskCounts" in request) {
+    const { shard, job } = request.taskCounts;
     const owner = ownerOf(shard);
     if (owner === undefined) return { counts: { known: false, done: 0, running: 0 } };
     return { counts: await owner.ask((reply) => ({ kind: "task_counts", job, reply })) };
   }
-  if ("drain" in request || "give" in request) return handleMachineRemoval(request, ownerOf);
-  if ("handOver" in request) membership.tell({ kind: "hand_over", ...request.handOver });
+  if ("drainMachines" in request || "transferMachines" in request)
+    return handleMachineRemoval(request, ownerOf);
+  if ("handOver" in request)
+    membership.tell({ kind: "hand_over", shard: request.handOver.shard, to: request.handOver.targetNode });
   if ("misroutedHeartbeat" in request) {
-    const { shard, cameTo } = request.misroutedHeartbeat;
+    const { shard, receivedBy } = request.misroutedHeartbeat;
     // One worker alone says little; if none comes here any more, the shard is better off where they go.
     if (ownerOf(shard)?.isCutOffFromWorkers && targets.mayHandOver(shard))
-      membership.tell({ kind: "hand_over", shard, to: cameTo });
+      membership.tell({ kind: "hand_over", shard, to: receivedBy });
   }
-  if ("cancelled" in request) {
-    const { shard, job } = request.cancelled;
+  if ("jobCancelled" in request) {
+    const { shard, job } = request.jobCancelled;
     ownerOf(shard)?.tell({ kind: "job_cancelled", job });
   }
-  if ("transfer" in request) {
-    const { shard, to, job } = request.transfer;
-    ownerOf(shard)?.tell({ kind: "migrate_job", targetShard: to, job });
+  if ("migrateJob" in request) {
+    const { shard, targetShard, job } = request.migrateJob;
+    ownerOf(shard)?.tell({ kind: "migrate_job", targetShard, job });
   }
-  if ("cordon" in request) {
-    const { shard, to, demand } = request.cordon;
-    ownerOf(shard)?.tell({ kind: "cordon_machine", targetShard: to, demand });
+  if ("cordonMachine" in request) {
+    const { shard, targetShard, demand } = request.cordonMachine;
+    ownerOf(shard)?.tell({ kind: "cordon_machine", targetShard, demand });
   }
   return EMPTY_REPLY;
 }
@@ -73,20 +75,20 @@
   users: UserRequestHandler,
 ): Promise<PeerReply> {
   const { status, body: said } = await users.handle({ method, path, body: parseJson(body) });
-  return { answer: { status, body: JSON.stringify(said) } };
+  return { userResponse: { status, body: JSON.stringify(said) } };
 }
 
 async function handleMachineRemoval(
-  request: Extract<PeerRequest, { drain: object } | { give: object }>,
+  request: Extract<PeerRequest, { drainMachines: object } | { transferMachines: object }>,
   ownerOf: PeerRequestTargets["ownerOf"],
 ): Promise<PeerReply> {
-  const { shard, hosts } = "drain" in request ? request.drain : request.give;
+  const { shard, hosts } = "drainMachines" in request ? request.drainMachines : request.transferMachines;
   const owner = ownerOf(shard);
   if (owner === undefined) return EMPTY_REPLY;
   const accepted = await owner.ask<string[]>((reply) =>
-    "drain" in request
+    "drainMachines" in request
       ? { kind: "drain_machines", hosts, reply }
-      : { kind: "transfer_machines", targetShard: request.give.to, hosts, reply },
+      : { kind: "transfer_machines", targetShard: request.transferMachines.targetShard, hosts, reply },
   );
   return { accepted: { hosts: accepted } };
 }
--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -4,7 +4,7 @@
 import type { OwnedShardStatus } from "../links/remedies.js";
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { Membership } from "../membership/membership.js";
-import type { ShardSummary } from "../peers/messages.js";
+import type { ShardSummary } from "../peers/peer-messages.js";
 import { RenewalGuard, type RenewalGuardTimings } from "../shards/renewal-guard.js";
 import type { DecisionMetrics } from "../shards/decision-metrics.js";
 import { Shard } from "../shards/shard.js";
--- a/src/controller/summary-exchange.ts
+++ b/src/controller/summary-exchange.ts
@@ -1,7 +1,7 @@
 /** Summaries to the leader, and how full all shards are from it. */
 import { toDemandRecord } from "../autoscaling/demand-record.js";
 import type { ShardAssignment } from "../jobs/shard-assignment.js";
-import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/messages.js";
+import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/peer-messages.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import type { StateStoreClient } from "../state/state-store-client.js";
@@ -44,7 +44,7 @@
     this.parts
       .askNode(this.parts.leader(), { summary })
       .then((reply) => {
-        if ("loads" in reply) for (const note of reply.loads.notes) this.record(note);
+        if ("loads" in reply) for (const note of reply.loads.shards) this.record(note);
       })
       .catch(() => {
         this.storeSummary(summary);
@@ -74,7 +74,7 @@
     this.loads.set(shard, { shard, load });
     this.parts.assignment.recordLoad(shard, {
       capacity: load.cpus,
-      backlog: load.waiting + load.used - load.cpus,
+      backlog: load.waitingCpus + load.usedCpus - load.cpus,
     });
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -6,7 +6,7 @@
 import { parseSettings, readText, SettingsError, type Settings } from "./config/settings.js";
 import { Controller } from "./controller/controller.js";
 import { collectLinkReports, linkExitCode, linkTable } from "./cli/link-report.js";
-import { TcpPeerNetwork } from "./peers/network.js";
+import { TcpPeerNetwork } from "./peers/tcp-peer-network.js";
 import { createLogger } from "./runtime/log.js";
 import { peerTimeoutMs } from "./controller/timings.js";
 
--- a/src/peers/framing.ts
+++ b/src/peers/framing.ts
@@ -1,6 +1,7 @@
-/** Frames on a byte stream: a length of four bytes, then the frame. */
+/** Frames on a byte stream: a length of four bytes, big-endian, then the frame. */
 import { Transform, type TransformCallback } from "node:stream";
-import { decodeFrame, encodeFrame, type Frame } from "./messages.js";
+import { decodeFrame, encodeFrame, FrameError } from "./peer-codec.js";
+import type { Frame } from "./peer-messages.js";
 
 const HEADER_BYTES = 4;
 const MAX_FRAME_BYTES = 1024 * 1024;
@@ -14,7 +15,7 @@
   return bytes;
 }
 
-/** Bytes in, frames out. A broken or oversize frame ends the stream with an error. */
+/** Bytes in, frames out. A broken or oversize frame ends the stream with a `FrameError`. */
 export class FrameDecoder extends Transform {
   private pending: Buffer = Buffer.alloc(0);
 
@@ -25,16 +26,21 @@
   override _transform(chunk: Buffer, _encoding: string, done: TransformCallback): void {
     this.pending = this.pending.byteLength === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     try {
-      while (this.pending.byteLength >= HEADER_BYTES) {
-        const size = this.pending.readUInt32BE(0);
-        if (size > MAX_FRAME_BYTES) throw new Error(`a frame of ${size} bytes`);
-        if (this.pending.byteLength < HEADER_BYTES + size) break;
-        this.push(decodeFrame(this.pending.subarray(HEADER_BYTES, HEADER_BYTES + size)));
-        this.pending = this.pending.subarray(HEADER_BYTES + size);
-      }
+      this.pushWholeFrames();
       done();
     } catch (err) {
       done(err as Error);
     }
   }
+
+  private pushWholeFrames(): void {
+    while (this.pending.byteLength >= HEADER_BYTES) {
+      const bodyBytes = this.pending.readUInt32BE(0);
+      if (bodyBytes > MAX_FRAME_BYTES) throw new FrameError(`a frame of ${bodyBytes} bytes`);
+      const frameEnd = HEADER_BYTES + bodyBytes;
+      if (this.pending.byteLength < frameEnd) return;
+      this.push(decodeFrame(this.pending.subarray(HEADER_BYTES, frameEnd)));
+      this.pending = this.pending.subarray(frameEnd);
+    }
+  }
 }
--- a/src/peers/observed-network.ts
+++ b/src/peers/observed-peer-network.ts
@@ -1,18 +1,19 @@
-/** Lets the link monitor see what passes between controllers anyway, without changing it. */
+/** Lets the link monitor observe the calls between controllers, without changing them. */
 import { peerLink, type ObservationSink } from "../links/model.js";
+import type { PeerReply, PeerRequest } from "./peer-messages.js";
 import {
   PeerUnreachableError,
+  type LinkViewExchange,
   type PeerHandler,
   type PeerNetwork,
-  type LinkViewExchange,
-} from "./network.js";
-import type { PeerReply, PeerRequest } from "./messages.js";
+} from "./peer-network.js";
 
-/** Requests whose answers wait for other services: that they take long says nothing about the peer. */
-const waitsForOthers = (request: PeerRequest): boolean =>
-  "forward" in request || "drain" in request || "give" in request;
+/** Whether the reply to a request waits for other services: that it takes long says nothing about the link. */
+function waitsForOtherServices(request: PeerRequest): boolean {
+  return "forwardUserRequest" in request || "drainMachines" in request || "transferMachines" in request;
+}
 
-/** A network whose questions and answers are told to the monitor. */
+/** A network whose requests and replies are reported to the link monitor. */
 export class ObservedPeerNetwork implements PeerNetwork {
   constructor(
     private readonly network: PeerNetwork,
@@ -39,7 +40,7 @@
       this.sink({ kind: "delivered", link, direction: "inbound" });
       return reply;
     } catch (err) {
-      if (err instanceof PeerUnreachableError && !waitsForOthers(request))
+      if (err instanceof PeerUnreachableError && !waitsForOtherServices(request))
         this.sink({ kind: "unanswered", link });
       throw err;
     }
--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -1,6 +1,6 @@
 /** Which jobs may pass to another shard, and what room a shard has that nothing of its own takes. Pure. */
 import type { Team } from "../config/settings.js";
-import type { FreeCapacity, MigrationCandidate } from "../peers/messages.js";
+import type { FreeCapacity, MigrationCandidate } from "../peers/peer-messages.js";
 import type { QuotaReservation } from "../jobs/job-records.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
 import type { Job } from "../workers/model.js";
--- a/src/placement/shard-summary.ts
+++ b/src/placement/shard-summary.ts
@@ -1,5 +1,5 @@
 /** What an owner tells the leader of its shard: how full it is, what it is short of, how its machines are. Pure. */
-import type { Demand, MachineSummary, ShardLoad, ShardSummary } from "../peers/messages.js";
+import type { Demand, MachineSummary, ShardLoad, ShardSummary } from "../peers/peer-messages.js";
 import type { Job, Machine, Placement } from "../workers/model.js";
 import { forecastUnmetDemand, type UnmetDemand } from "./capacity-forecast.js";
 import {
@@ -19,15 +19,15 @@
   machines,
   types,
 }: Pick<PlacementInput, "jobs" | "machines" | "types">): ShardLoad {
-  const load = { up: 0, empty: 0, cpus: 0, used: 0, waiting: 0 };
+  const load = { machinesUp: 0, emptyMachines: 0, cpus: 0, usedCpus: 0, waitingCpus: 0 };
   for (const machine of machines) {
     if (!machine.up) continue;
-    load.up++;
+    load.machinesUp++;
     load.cpus += types.get(machine.record.type)?.cpus ?? 0;
-    load.used += machine.usedResources().cpus;
-    if (machine.placements.size === 0) load.empty++;
+    load.usedCpus += machine.usedResources().cpus;
+    if (machine.placements.size === 0) load.emptyMachines++;
   }
-  for (const job of jobs) load.waiting += job.waiting * job.spec.cpus;
+  for (const job of jobs) load.waitingCpus += job.waiting * job.spec.cpus;
   return load;
 }
 
@@ -95,28 +95,28 @@
  */
 export function withoutDemand(summary: ShardSummary): ShardSummary {
   const machines = summary.machines.map((machine): MachineSummary =>
-    machine.state === "silent" ? { ...machine, state: "busy" } : machine,
+    machine.state === "lease_expired" ? { ...machine, state: "busy" } : machine,
   );
-  return { ...summary, machines, demand: [], rooms: [] };
+  return { ...summary, machines, demand: [], freeCapacity: [] };
 }
 
 /** One machine as the leader is told of it. */
 export function summarizeMachine(machine: Machine, now: number): MachineSummary {
-  const { host, emptyHeartbeats: emptyReports } = machine;
+  const { host, emptyHeartbeats } = machine;
   const since = (t: number | null): number => (t === null ? 0 : now - t);
   if (machine.record.draining || machine.removalPending)
-    return { host, state: "draining", forMs: 0, emptyReports };
+    return { host, state: "draining", stateForMs: 0, emptyHeartbeats };
   if (machine.leaseExpiredAt !== null)
-    return { host, state: "silent", forMs: since(machine.leaseExpiredAt), emptyReports };
+    return { host, state: "lease_expired", stateForMs: since(machine.leaseExpiredAt), emptyHeartbeats };
   // It speaks and does not hear: as good as silent, for what is to become of it.
   if (machine.responsesLost)
-    return { host, state: "silent", forMs: since(machine.responsesLostSince), emptyReports };
+    return { host, state: "lease_expired", stateForMs: since(machine.responsesLostSince), emptyHeartbeats };
   if (!machine.followsTerm) {
-    const state = machine.record.hasReported ? "joining" : "booting";
-    return { host, state, forMs: since(machine.addedAt), emptyReports };
+    const state = machine.record.hasReported ? "awaiting_heartbeat" : "booting";
+    return { host, state, stateForMs: since(machine.addedAt), emptyHeartbeats };
   }
-  if (machine.quarantined) return { host, state: "sick", forMs: 0, emptyReports };
+  if (machine.quarantined) return { host, state: "quarantined", stateForMs: 0, emptyHeartbeats };
   if (machine.empty && machine.interruptionNoticeS === null)
-    return { host, state: "idle", forMs: since(machine.emptySince), emptyReports };
-  return { host, state: "busy", forMs: 0, emptyReports };
+    return { host, state: "idle", stateForMs: since(machine.emptySince), emptyHeartbeats };
+  return { host, state: "busy", stateForMs: 0, emptyHeartbeats };
 }
--- a/src/shards/cordons.ts
+++ b/src/shards/cordons.ts
@@ -1,5 +1,5 @@
 /** Machines that run empty, so that a shard without any can be given one. */
-import { allowsPool, type Demand } from "../peers/messages.js";
+import { allowsPool, type Demand } from "../peers/peer-messages.js";
 import type { Logger } from "../runtime/log.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S, PRIORITIES, type Priority } from "../wire/index.js";
 import type { Machine, Placement } from "../workers/model.js";
--- a/src/shards/shard-owner-messages.ts
+++ b/src/shards/shard-owner-messages.ts
@@ -1,6 +1,6 @@
 /** What a shard owner is told, what it needs of the rest of the process, and the durations it goes by. */
 import type { ShardAuthority } from "../membership/shard-authority.js";
-import type { Demand, ShardSummary } from "../peers/messages.js";
+import type { Demand, ShardSummary } from "../peers/peer-messages.js";
 import type { Heartbeat, RecordChange } from "../wire/index.js";
 import type { LeaseRenewal } from "../workers/lease-renewal.js";
 
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -3,7 +3,7 @@
  * that follow. Time and records come in, commands, writes and summaries go out; nothing here waits or calls.
  */
 import type { Settings } from "../config/settings.js";
-import type { Demand, ShardSummary } from "../peers/messages.js";
+import type { Demand, ShardSummary } from "../peers/peer-messages.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { keys } from "../state/keys.js";
@@ -210,7 +210,7 @@
     this.resumeAt = round.resumeAt;
     const started = this.applyRound(round, token, now);
     const load = measureLoad(input);
-    this.hasSpareCapacity = load.cpus - load.used > SPARE_CAPACITY_FRACTION * load.cpus;
+    this.hasSpareCapacity = load.cpus - load.usedCpus > SPARE_CAPACITY_FRACTION * load.cpus;
     return started;
   }
 
@@ -430,8 +430,8 @@
       load: measureLoad(input),
       demand: computeDemand(input),
       machines: [...this.machines.values()].map((m) => summarizeMachine(m, now)),
-      rooms: largestFreeCapacity(input),
-      waiting: migrationCandidates(input),
+      freeCapacity: largestFreeCapacity(input),
+      migrationCandidates: migrationCandidates(input),
     };
   }
 }
--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -7,7 +7,7 @@
 import type { RentedMachine } from "../src/autoscaling/scaling-view.js";
 import { UnregisteredMachines } from "../src/autoscaling/unregistered-machines.js";
 import { poolKey } from "../src/cloud/instance-pool.js";
-import type { Demand, MachineCondition, MachineSummary, ShardSummary } from "../src/peers/messages.js";
+import type { Demand, MachineCondition, MachineSummary, ShardSummary } from "../src/peers/peer-messages.js";
 import { createLogger } from "../src/runtime/log.js";
 import type { ListedMachine } from "../src/wire/index.js";
 import { Fleet } from "../src/workers/fleet.js";
@@ -30,11 +30,11 @@
   shard,
   token: 1,
   recovered: true,
-  load: { up: 0, empty: 0, cpus: 0, used: 0, waiting: 0 },
+  load: { machinesUp: 0, emptyMachines: 0, cpus: 0, usedCpus: 0, waitingCpus: 0 },
   demand: [],
   machines: [],
-  rooms: [],
-  waiting: [],
+  freeCapacity: [],
+  migrationCandidates: [],
   ...over,
 });
 
@@ -52,8 +52,8 @@
 const machineSummaryOfEvent = (event: TraceEvent): MachineSummary => ({
   host: event.words[0]!,
   state: event.words[1] as MachineCondition,
-  forMs: number(event, "for", 0) * 1000,
-  emptyReports: number(event, "empty", 0),
+  stateForMs: number(event, "for", 0) * 1000,
+  emptyHeartbeats: number(event, "empty", 0),
 });
 
 /** The outcome of a pass as lines of the trace. */
@@ -185,12 +185,12 @@
     const machine = (host: string, state: MachineCondition): MachineSummary => ({
       host,
       state,
-      forMs: 60_000,
-      emptyReports: 9,
+      stateForMs: 60_000,
+      emptyHeartbeats: 9,
     });
     const summary = summaryOf(3, {
       token: 8,
-      load: { up: 2, empty: 1, cpus: 8, used: 4, waiting: 7 },
+      load: { machinesUp: 2, emptyMachines: 1, cpus: 8, usedCpus: 4, waitingCpus: 7 },
       demand: [demand],
       machines: [machine("i-1", "booting"), machine("i-2", "idle")],
     });
--- a/test/large-fleets.test.ts
+++ b/test/large-fleets.test.ts
@@ -5,7 +5,7 @@
 import { UnregisteredMachines } from "../src/autoscaling/unregistered-machines.js";
 import { checkOperatorSettings } from "../src/config/operator.js";
 import { frameBytes, FrameDecoder } from "../src/peers/framing.js";
-import type { Demand, Frame, MachineSummary } from "../src/peers/messages.js";
+import type { Demand, Frame, MachineSummary } from "../src/peers/peer-messages.js";
 import { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
 import type { Heartbeat } from "../src/wire/index.js";
@@ -49,10 +49,19 @@
 });
 
 test("a summary of all of them goes to the leader in one frame", async () => {
-  const summaries = hosts.map((host): MachineSummary => ({ host, state: "busy", forMs: 0, emptyReports: 0 }));
-  const load = { up: MACHINES, empty: 0, cpus: 16_000, used: 16_000, waiting: 0 };
+  const summaries = hosts.map((host): MachineSummary => ({
+    host,
+    state: "busy",
+    stateForMs: 0,
+    emptyHeartbeats: 0,
+  }));
+  const load = { machinesUp: MACHINES, emptyMachines: 0, cpus: 16_000, usedCpus: 16_000, waitingCpus: 0 };
   const summary = { shard: 0, token: 3, recovered: true, demand: [], machines: summaries, load };
-  const frame: Frame = { id: 1, reply: false, body: { summary: { ...summary, rooms: [], waiting: [] } } };
+  const frame: Frame = {
+    id: 1,
+    reply: false,
+    body: { summary: { ...summary, freeCapacity: [], migrationCandidates: [] } },
+  };
   const reader = new FrameDecoder();
   reader.end(frameBytes(frame));
   assert.deepEqual(await reader.toArray(), [frame]);
@@ -64,16 +73,16 @@
   const machines = hosts.map((host): MachineSummary => ({
     host,
     state: "booting",
-    forMs: 0,
-    emptyReports: 0,
+    stateForMs: 0,
+    emptyHeartbeats: 0,
   }));
   const demand = Array.from({ length: 500 }, (_, i): Demand => {
     const needs = { cpus: 1 + i / 1000, gpus: 0, memoryGb: 1, types: ["small"], zone: "north" };
     return { ...needs, spot: true, count: 1, priority: "normal" };
   });
-  const load = { up: 0, empty: 0, cpus: 0, used: 0, waiting: 500 };
+  const load = { machinesUp: 0, emptyMachines: 0, cpus: 0, usedCpus: 0, waitingCpus: 500 };
   const summary = { shard: 0, token: Number.MAX_SAFE_INTEGER, recovered: false, demand, machines, load };
-  const record = toDemandRecord({ ...summary, rooms: [], waiting: [] }, valueBytes);
+  const record = toDemandRecord({ ...summary, freeCapacity: [], migrationCandidates: [] }, valueBytes);
   assert.ok(Buffer.byteLength(JSON.stringify(record)) <= valueBytes);
   assert.ok(record.demand.length > 30, `${record.demand.length} kept`);
   assert.deepEqual(record.demand, demand.slice(0, record.demand.length), "the most urgent are kept");
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -15,7 +15,7 @@
 import { ACTIVITIES, DECISIONS, LOSSES, NORMAL_RULES, RULES_WITHOUT } from "../src/links/policy.js";
 import { deriveLinkTimings, linkSettingsSchema, MONITOR_MODES } from "../src/links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../src/links/status.js";
-import type { PeerReply, PeerRequest } from "../src/peers/messages.js";
+import type { PeerReply, PeerRequest } from "../src/peers/peer-messages.js";
 import { DecisionMetrics, type DecisionReport } from "../src/shards/decision-metrics.js";
 import { assertSameJson, readFixture } from "./support/fixtures.js";
 import { silent } from "./support/records.js";
--- a/test/peer-frames.test.ts
+++ b/test/peer-frames.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { decodeView, encodeView } from "../src/links/views.js";
-import { decodeFrame, encodeFrame } from "../src/peers/messages.js";
+import { decodeFrame, encodeFrame } from "../src/peers/peer-codec.js";
 import { readFixture } from "./support/fixtures.js";
 import { frameOf, linkViewOf, MESSAGES, type PeerFrameFixtures } from "./support/peer-frames.js";
 
@@ -11,7 +11,7 @@
 const bytesOf = (hex: string): Uint8Array => new Uint8Array(Buffer.from(hex, "hex"));
 const hexOf = (bytes: Uint8Array): string => Buffer.from(bytes).toString("hex");
 
-void describe("peers/messages", () => {
+void describe("peers/peer-codec", () => {
   for (const fixture of frames) {
     const { message, id, hex, hexWithLinkView } = fixture;
     test(`${message} (frame ${id}) is encoded to the bytes of the fixture`, () => {
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -148,7 +148,7 @@
       case "demand":
         return shard!.summary(token, now).demand.map((d) => `${d.count} tasks of ${d.cpus} cpus`);
       case "machines":
-        return shard!.summary(token, now).machines.map((m) => `${m.host} ${m.state} ${m.emptyReports}`);
+        return shard!.summary(token, now).machines.map((m) => `${m.host} ${m.state} ${m.emptyHeartbeats}`);
     }
     throw new Error(`no such event as ${verb}`);
   };
--- a/test/support/fault-combinations.ts
+++ b/test/support/fault-combinations.ts
@@ -308,7 +308,7 @@
       await running(world, "req-1", { pieces: 10 });
       for (let i = 0; i < 3; i++) {
         const { owner, other } = ownerAndOther(world, 0);
-        const request = { handOver: { shard: 0, to: other.name } };
+        const request = { handOver: { shard: 0, targetNode: other.name } };
         void owner.life?.controller.answerPeer(request);
         await world.run(1500);
       }
--- a/test/support/peer-frames.ts
+++ b/test/support/peer-frames.ts
@@ -11,9 +11,9 @@
   MachineSummary,
   PeerReply,
   PeerRequest,
-  ShardLoadReport,
+  ShardLoad,
   MigrationCandidate,
-} from "../../src/peers/messages.js";
+} from "../../src/peers/peer-messages.js";
 
 /** A frame in the fixture. */
 export interface FrameFixture {
@@ -72,6 +72,13 @@
   waiting: { job: string; task: DemandMeaning; waitedMs: number }[];
 }
 
+/** What the program calls the states that have another name in the fixture. */
+const RENAMED_STATES: Record<string, MachineCondition> = {
+  joining: "awaiting_heartbeat",
+  silent: "lease_expired",
+  sick: "quarantined",
+};
+
 const demand = ({ cpus, gpus, memoryGb, types, zone, spot, count, priority }: DemandMeaning): Demand => ({
   cpus,
   gpus,
@@ -83,12 +90,12 @@
   priority,
 });
 
-const load = ({ up, empty, cpus, used, waiting }: LoadMeaning): ShardLoadReport["load"] => ({
-  up,
-  empty,
+const load = ({ up, empty, cpus, used, waiting }: LoadMeaning): ShardLoad => ({
+  machinesUp: up,
+  emptyMachines: empty,
   cpus,
-  used,
-  waiting,
+  usedCpus: used,
+  waitingCpus: waiting,
 });
 
 const machine = ({
@@ -98,12 +105,19 @@
   emptyReports,
 }: SummaryMeaning["machines"][number]): MachineSummary => ({
   host,
-  state: state as MachineCondition,
-  forMs,
-  emptyReports,
+  state: RENAMED_STATES[state] ?? (state as MachineCondition),
+  stateForMs: forMs,
+  emptyHeartbeats: emptyReports,
 });
 
-const room = ({ type, zone, spot, cpus, gpus, memoryGb }: SummaryMeaning["rooms"][number]): FreeCapacity => ({
+const freeCapacity = ({
+  type,
+  zone,
+  spot,
+  cpus,
+  gpus,
+  memoryGb,
+}: SummaryMeaning["rooms"][number]): FreeCapacity => ({
   type,
   zone,
   spot,
@@ -112,7 +126,11 @@
   memoryGb,
 });
 
-const waitingJob = ({ job, task, waitedMs }: SummaryMeaning["waiting"][number]): MigrationCandidate => ({
+const migrationCandidate = ({
+  job,
+  task,
+  waitedMs,
+}: SummaryMeaning["waiting"][number]): MigrationCandidate => ({
   job,
   task: demand(task),
   waitedMs,
@@ -127,42 +145,42 @@
       demand: meaning.demand.map(demand),
       machines: meaning.machines.map(machine),
       load: load(meaning.load),
-      rooms: meaning.rooms.map(room),
-      waiting: meaning.waiting.map(waitingJob),
+      freeCapacity: meaning.rooms.map(freeCapacity),
+      migrationCandidates: meaning.waiting.map(migrationCandidate),
     },
   }),
   ping: () => ({ ping: {} }),
-  drain: ({ shard, hosts }: { shard: number; hosts: string[] }) => ({ drain: { shard, hosts } }),
+  drain: ({ shard, hosts }: { shard: number; hosts: string[] }) => ({ drainMachines: { shard, hosts } }),
   give: ({ shard, to, hosts }: { shard: number; to: number; hosts: string[] }) => ({
-    give: { shard, to, hosts },
+    transferMachines: { shard, targetShard: to, hosts },
   }),
   cordon: ({ shard, to, demand: wanted }: { shard: number; to: number; demand: DemandMeaning }) => ({
-    cordon: { shard, to, demand: demand(wanted) },
+    cordonMachine: { shard, targetShard: to, demand: demand(wanted) },
   }),
   transfer: ({ shard, to, job }: { shard: number; to: number; job: string }) => ({
-    transfer: { shard, to, job },
+    migrateJob: { shard, targetShard: to, job },
   }),
-  cancelled: ({ shard, job }: { shard: number; job: string }) => ({ cancelled: { shard, job } }),
-  hand_over: ({ shard, to }: { shard: number; to: string }) => ({ handOver: { shard, to } }),
+  cancelled: ({ shard, job }: { shard: number; job: string }) => ({ jobCancelled: { shard, job } }),
+  hand_over: ({ shard, to }: { shard: number; to: string }) => ({ handOver: { shard, targetNode: to } }),
   misroutedHeartbeat: ({ shard, cameTo }: { shard: number; cameTo: string }) => ({
-    misroutedHeartbeat: { shard, cameTo },
+    misroutedHeartbeat: { shard, receivedBy: cameTo },
   }),
-  lookup: ({ shard, job }: { shard: number; job: string }) => ({ lookup: { shard, job } }),
+  lookup: ({ shard, job }: { shard: number; job: string }) => ({ taskCounts: { shard, job } }),
   forward: ({ method, path, body }: { method: string; path: string; body: string }) => ({
-    forward: { method, path, body },
+    forwardUserRequest: { method, path, body },
   }),
   link_status: () => ({ linkStatus: {} }),
 };
 
 const replies: Record<string, (meaning: never) => PeerReply> = {
   loads: ({ notes }: { notes: { shard: number; load: LoadMeaning }[] }) => ({
-    loads: { notes: notes.map((note) => ({ shard: note.shard, load: load(note.load) })) },
+    loads: { shards: notes.map((note) => ({ shard: note.shard, load: load(note.load) })) },
   }),
   accepted: ({ hosts }: { hosts: string[] }) => ({ accepted: { hosts } }),
   counts: ({ known, done, running }: { known: boolean; done: number; running: number }) => ({
     counts: { known, done, running },
   }),
-  answer: ({ status, body }: { status: number; body: string }) => ({ answer: { status, body } }),
+  answer: ({ status, body }: { status: number; body: string }) => ({ userResponse: { status, body } }),
   link_report: ({ json }: { json: string }) => ({ linkReport: { json } }),
 };
 
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -9,7 +9,7 @@
 import { ShardAssignment } from "../../src/jobs/shard-assignment.js";
 import { joinTransaction } from "../../src/membership/membership-planner.js";
 import { Membership } from "../../src/membership/membership.js";
-import type { ShardSummary } from "../../src/peers/messages.js";
+import type { ShardSummary } from "../../src/peers/peer-messages.js";
 import { CompletionLog, type Completion } from "../../src/shards/completion-log.js";
 import { JobMigrator } from "../../src/shards/job-migrator.js";
 import { Shard } from "../../src/shards/shard.js";
@@ -235,9 +235,9 @@
     },
   ],
   machines: [],
-  load: { up: 0, empty: 0, cpus: 0, used: 0, waiting: 8 },
-  rooms: [],
-  waiting: [],
+  load: { machinesUp: 0, emptyMachines: 0, cpus: 0, usedCpus: 0, waitingCpus: 8 },
+  freeCapacity: [],
+  migrationCandidates: [],
 });
 
 const CATALOGUE = {
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { chooseJobMigration } from "../src/autoscaling/shard-balancing.js";
-import type { FreeCapacity, ShardSummary, MigrationCandidate } from "../src/peers/messages.js";
+import type { FreeCapacity, ShardSummary, MigrationCandidate } from "../src/peers/peer-messages.js";
 import { QuotaReservations } from "../src/shards/quota-reservations.js";
 import { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
@@ -12,7 +12,7 @@
 const GONE_MS = 1000;
 
 function summary(shard: number, over: Partial<ShardSummary>): ShardSummary {
-  const load = { up: 0, empty: 0, cpus: 0, used: 0, waiting: 0 };
+  const load = { machinesUp: 0, emptyMachines: 0, cpus: 0, usedCpus: 0, waitingCpus: 0 };
   return {
     shard,
     token: 1,
@@ -20,8 +20,8 @@
     load,
     demand: [],
     machines: [],
-    rooms: [],
-    waiting: [],
+    freeCapacity: [],
+    migrationCandidates: [],
     ...over,
   };
 }
@@ -42,9 +42,13 @@
 
 test("the job that has waited longest of those that fit another shard's room passes on", () => {
   const giver = summary(0, {
-    waiting: [waiting("req-1", 3, 60_000), waiting("req-2", 1, 50_000), waiting("req-3", 1, 55_000)],
+    migrationCandidates: [
+      waiting("req-1", 3, 60_000),
+      waiting("req-2", 1, 50_000),
+      waiting("req-3", 1, 55_000),
+    ],
   });
-  assert.deepEqual(chooseJobMigration([giver, summary(1, { rooms: [room(2)] })]), {
+  assert.deepEqual(chooseJobMigration([giver, summary(1, { freeCapacity: [room(2)] })]), {
     shard: 0,
     targetShard: 1,
     job: "req-3",
@@ -52,9 +56,9 @@
 });
 
 test("no job passes to its own shard, to another zone, or to a shard that has not heard its machines", () => {
-  const giver = summary(0, { waiting: [waiting("req-1", 1, 60_000)], rooms: [room(4)] });
-  assert.equal(chooseJobMigration([giver, summary(1, { rooms: [room(4, "south")] })]), null);
-  assert.equal(chooseJobMigration([giver, summary(1, { rooms: [room(4)], recovered: false })]), null);
+  const giver = summary(0, { migrationCandidates: [waiting("req-1", 1, 60_000)], freeCapacity: [room(4)] });
+  assert.equal(chooseJobMigration([giver, summary(1, { freeCapacity: [room(4, "south")] })]), null);
+  assert.equal(chooseJobMigration([giver, summary(1, { freeCapacity: [room(4)], recovered: false })]), null);
   assert.equal(chooseJobMigration([giver, undefined]), null);
 });
 
@@ -82,16 +86,16 @@
 
 test("a job passes on with as many tasks at once as its team's limit leaves, and its shard counts them", () => {
   const { shard } = cappedShard();
-  assert.equal(shard.summary(3, 0).waiting[0]?.job, "req-1");
+  assert.equal(shard.summary(3, 0).migrationCandidates[0]?.job, "req-1");
   const prepared = shard.beginMigration("req-1", 0);
   assert.ok(prepared !== null, "it may pass on");
   assert.equal(prepared.terms.maxParallelTasks, 4);
   assert.deepEqual(prepared.terms.reservation, { team: "capped", cpus: 4, gpus: 0 });
   assert.equal(prepared.terms.migratedIn, true, "it goes to a shard of another team");
   assert.equal(shard.beginMigration("req-1", 0), null, "not twice");
-  assert.deepEqual(shard.summary(3, 0).waiting, []);
+  assert.deepEqual(shard.summary(3, 0).migrationCandidates, []);
   shard.migrationFailed(prepared.job);
-  assert.equal(shard.summary(3, 0).waiting[0]?.job, "req-1", "it may pass later");
+  assert.equal(shard.summary(3, 0).migrationCandidates[0]?.job, "req-1", "it may pass later");
 });
 
 test("a new owner goes on counting what has passed on, also where the job ended meanwhile", () => {
@@ -134,7 +138,7 @@
   other.sync(view, [change], 0);
   assert.equal(shard.jobs.get("req-1"), undefined);
   assert.equal(other.jobs.get("req-1")?.startableTasks, 2);
-  assert.deepEqual(other.summary(4, 0).waiting, [], "a guest does not pass on once more");
+  assert.deepEqual(other.summary(4, 0).migrationCandidates, [], "a guest does not pass on once more");
 });
 
 test("a guest of a team without a limit does not pass on once more either", () => {
@@ -145,7 +149,7 @@
     const record = { spec, shard: 1, acceptedAt: Date.now() - 60_000, guest };
     view.put(keys.job("req-1"), record, guest ? 6 : 5);
     const shard = new Shard(1, 3, 0, testSettings(), () => types, view, silent);
-    assert.equal(shard.summary(3, 0).waiting.length, guest ? 0 : 1);
+    assert.equal(shard.summary(3, 0).migrationCandidates.length, guest ? 0 : 1);
   }
 });
 
@@ -162,6 +166,6 @@
   const [first] = shard.jobs.values();
   const { active } = first!;
   Object.defineProperty(first, "active", { get: () => (looks++, active) });
-  assert.deepEqual(shard.summary(3, 0).waiting, [], "the team is at its limit");
+  assert.deepEqual(shard.summary(3, 0).migrationCandidates, [], "the team is at its limit");
   assert.ok(looks < 20, `${looks} looks at one job`);
 });
