--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -1,6 +1,6 @@
 /** Which jobs may migrate to another shard, and what capacity a shard has for jobs of others. Pure. */
 import type { Team } from "../config/settings.js";
-import type { FreeCapacity, MigrationCandidate } from "../peers/messages.js";
+import type { FreeCapacity, MigrationCandidate } from "../peers/peer-messages.js";
 import type { QuotaReservation } from "../jobs/job-records.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -12,10 +12,16 @@
 import { collectLinkReports, LINK_EXIT_CODES, linkExitCode, linkTable } from "../src/cli/link-report.js";
 import { LinkMonitor } from "../src/links/monitor.js";
 import { DIRECTIONS, LINK_STATES, type Evidence, type Scope } from "../src/links/model.js";
-import { ACTIVITIES, DECISIONS, LOSSES, NORMAL_RULES, RULES_WITHOUT } from "../src/links/degradation-policy.js";
+import {
+  ACTIVITIES,
+  DECISIONS,
+  LOSSES,
+  NORMAL_RULES,
+  RULES_WITHOUT,
+} from "../src/links/degradation-policy.js";
 import { deriveLinkTimings, linkSettingsSchema, MONITOR_MODES } from "../src/links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../src/links/status.js";
-import type { PeerReply, PeerRequest } from "../src/peers/messages.js";
+import type { PeerReply, PeerRequest } from "../src/peers/peer-messages.js";
 import { DecisionMetrics, type DecisionReport } from "../src/shards/decision-metrics.js";
 import { assertSameJson, readFixture } from "./support/fixtures.js";
 import { silent } from "./support/records.js";
