--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,387 +1,123 @@
-/** One controller: makes the actors and connects them. */
-import { pipeline } from "node:stream";
-import { CloudClient } from "../cloud/cloud-client.js";
+/** The lifecycle of one controller: it follows the records, listens to users, workers and peers, and closes. */
+import { pipeline, type Readable } from "node:stream";
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
-import { createDependencies, type ControllerDependencies } from "./dependencies.js";
-import { handlePeerRequest, EMPTY_REPLY } from "./peer-request-handler.js";
-import { deriveTimings, type Timings } from "./timings.js";
 import type { HttpDependencies } from "../http/app.js";
-import { RequestForwarder } from "../http/request-forwarder.js";
-import { serve } from "../http/server.js";
-import { JobRequestHandler, type UserResponse, type UserRequest } from "../http/user-requests.js";
-import { ShardAssignment } from "../jobs/shard-assignment.js";
-import { JobService } from "../jobs/job-service.js";
-import { Membership } from "../membership/membership.js";
+import { serve, type ListeningServer } from "../http/server.js";
 import type { PeerReply, PeerRequest } from "../peers/messages.js";
-import type { PeerNetwork, LinkViewExchange } from "../peers/network.js";
-import { DecisionMetrics } from "../shards/decision-metrics.js";
-import { ShardHost } from "./shard-host.js";
-import { LinkMonitoring } from "./link-monitoring.js";
+import type { LinkViewExchange } from "../peers/network.js";
 import type { SteadyClock } from "../runtime/clock.js";
-import { parseJson } from "../runtime/json-client.js";
 import type { Logger } from "../runtime/log.js";
-import { HeartbeatRouter } from "./heartbeat-router.js";
-import { SummaryExchange } from "./summary-exchange.js";
-import { Autoscaler } from "../autoscaling/autoscaler.js";
-import { StateStoreClient } from "../state/state-store-client.js";
+import { LIVE_PREFIX, ROOT_PREFIX } from "../state/keys.js";
 import { watchRecords } from "../state/watch.js";
-import { ReadBarrier } from "../state/read-barrier.js";
-import { LIVE_PREFIX, ROOT_PREFIX, keys, prefixes } from "../state/keys.js";
-import { Replica } from "../state/replica.js";
-import { HEARTBEAT_TIMEOUT_S, type RecordChange, type MachineType } from "../wire/index.js";
-import { Fleet } from "../workers/fleet.js";
+import { ControllerParts } from "./composition.js";
+import { createDependencies, type ControllerDependencies } from "./dependencies.js";
+
+/** A failed watch is begun again after so many times the spacing of its requests. */
+const WATCH_RETRY_SPACINGS = 4;
 
-/** A controller that listens. */
-export interface RunningController {
-  port: number;
+/** A controller that listens to users and workers on `port`, and to other controllers on `peerPort`. */
+export interface RunningController extends ListeningServer {
   peerPort: number;
-  close(): void;
 }
 
-const isMembershipKey = (key: string): boolean =>
-  key === keys.leader || key.startsWith(prefixes.members) || key.startsWith(prefixes.shards);
-
-/** One controller process: owns the actors, passes on what the records and peers say, and routes requests. */
+/** One controller process. */
 export class Controller {
-  private readonly replica = new Replica();
-  private readonly state: StateStoreClient;
-  private readonly membership: Membership;
-  private readonly fleet: Fleet;
-  private readonly autoscaler: Autoscaler;
-  private readonly peers: PeerNetwork;
+  private readonly parts: ControllerParts;
+  /** The steady clock of this process. */
   readonly clock: SteadyClock;
-  private readonly jobs: JobService;
-  private readonly requestHandler: JobRequestHandler;
-  private readonly relay: RequestForwarder;
-  private readonly router: HeartbeatRouter;
-  private readonly summaries: SummaryExchange;
-  private readonly shardAssignment: ShardAssignment;
-  private readonly shards: ShardHost;
-  private readonly links: LinkMonitoring;
-  private readonly metrics = new DecisionMetrics();
-  /** This life of the controller, told from earlier ones. */
-  private readonly incarnation = crypto.randomUUID();
-  private lastPing = -Infinity;
-  private readonly timings: Timings;
-  private typesByName = new Map<string, MachineType>();
-  private ticker: NodeJS.Timeout | null = null;
 
   constructor(
     private readonly settings: Settings,
-    private readonly operator: OperatorSettings,
+    operator: OperatorSettings,
     private readonly log: Logger,
     network: ControllerDependencies = createDependencies(settings, log),
   ) {
-    const { clock } = network;
-    const figures = (this.timings = deriveTimings(settings, operator));
-    this.links = new LinkMonitoring(settings, operator, figures, this.incarnation, network, log);
-    const around = this.links.watch(network);
-    this.clock = clock;
-    this.peers = around.peers;
-    this.fleet = new Fleet(log);
-    this.shardAssignment = new ShardAssignment(settings.teams, settings.controllers);
-    this.state = new StateStoreClient(
-      around.state,
-      around.watches,
-      settings.state,
-      settings.controllers,
-      clock,
-      figures.callMs,
-    );
-    const cloud = new CloudClient(
-      around.cloud,
-      settings.cloud.rps,
-      clock,
-      // A call to the cloud takes a good part of a second; a lost one is sent again under the same name.
-      HEARTBEAT_TIMEOUT_S * 1000,
-    );
-    this.membership = this.makeMembership();
-    this.shards = this.makeShardHost();
-    this.links.attach({ membership: this.membership, shards: this.shards, cloud, peers: this.peers });
-    this.autoscaler = this.makeAutoscaler(cloud);
-    this.jobs = this.makeJobService();
-    this.requestHandler = new JobRequestHandler(this.jobs);
-    this.relay = this.makeRelay();
-    this.router = this.makeRouter();
-    this.summaries = this.makeSummaryExchange();
-    this.replica.onChange((changes) => {
-      this.applyChanges(changes);
-    });
-  }
-
-  private makeMembership(): Membership {
-    return new Membership(
-      { node: this.settings.node, incarnation: this.incarnation },
-      this.settings.controllers,
-      this.settings.controllers,
-      this.timings,
-      this.state,
-      this.replica,
-      this.clock,
-      {
-        onOwnershipChanged: () => {
-          this.shards.reconcileOwnership();
-        },
-        requestHandOver: (owner, shard, to) =>
-          void this.requestController(owner, { handOver: { shard, to } }).catch(() => undefined),
-        isCutOffFromWorkers: (node) => this.links.policy.cannotHearWorkers(node),
-      },
-      this.log,
-    );
-  }
-
-  private makeRouter(): HeartbeatRouter {
-    return new HeartbeatRouter({
-      node: this.settings.node,
-      fleet: this.fleet,
-      membership: this.membership,
-      autoscaler: this.autoscaler,
-      ownerOf: (shard) => this.shards.ownerOf(shard),
-      askNode: (node, request) => this.requestController(node, request),
-      clock: this.clock,
-      misroutedSpacingMs: this.timings.misroutedSpacingMs,
-      maxMachines: this.operator.maxMachines,
-      links: this.links,
-    });
-  }
-
-  private makeSummaryExchange(): SummaryExchange {
-    return new SummaryExchange({
-      assignment: this.shardAssignment,
-      state: this.state,
-      leader: () => this.membership.leader(),
-      askNode: (node, request) => this.requestController(node, request),
-      clock: this.clock,
-      log: this.log,
-      spacingMs: this.operator.passSpacingMs,
-      valueBytes: this.settings.state.valueBytes,
-      queueTimeoutMs: this.timings.submitQueueTimeoutMs,
-    });
-  }
-
-  private makeShardHost(): ShardHost {
-    const { roundMs, preemptMs, quietTicks, staleMs } = this.timings;
-    return new ShardHost({
-      settings: this.settings,
-      timings: { roundMs, preemptMs, quietTicks, staleMs, spacingMs: this.operator.passSpacingMs },
-      metrics: this.metrics,
-      state: this.state,
-      replica: this.replica,
-      fleet: this.fleet,
-      membership: this.membership,
-      links: this.links.policy,
-      types: () => this.typesByName,
-      sendSummary: (summary) => {
-        this.summaries.send(summary);
-      },
-      clock: this.clock,
-      log: this.log,
-    });
-  }
-
-  private makeAutoscaler(cloud: CloudClient): Autoscaler {
-    return new Autoscaler(
-      this.settings,
-      this.operator,
-      cloud,
-      this.state,
-      this.replica,
-      this.fleet,
-      this.clock,
-      {
-        leadership: () => this.membership.leadership(),
-        requestOwner: (shard, request) => this.requestController(this.membership.owner(shard), request),
-        mayCallCloud: () => this.links.policy.allows("order"),
-      },
-      this.log,
-    );
-  }
-
-  private makeJobService(): JobService {
-    return new JobService(
-      this.settings,
-      this.state,
-      this.replica,
-      new ReadBarrier(this.state, this.replica, this.timings.lookupTimeoutMs),
-      () => this.typesByName,
-      this.shardAssignment,
-      (shard, job) => this.taskCounts(shard, job),
-      (shard, job) => {
-        this.notifyOwnerOfCancellation(shard, job);
-      },
-      this.timings.submitQueueTimeoutMs,
-      this.log,
-    );
-  }
-
-  private makeRelay(): RequestForwarder {
-    return new RequestForwarder({
-      own: this.requestHandler,
-      peers: this.settings.peers.map((p) => p.node),
-      ask: (peer, request) => this.forward(peer, request),
-      behind: () => this.isBehind() || !this.links.policy.allows("accept"),
-      nobodyCan: () => this.links.policy.refuses("accept"),
-      pauseMs: this.timings.peerMs,
-      clock: this.clock,
-      log: this.log,
-    });
+    this.clock = network.clock;
+    this.parts = new ControllerParts(settings, operator, log, network);
   }
 
   /** What users, workers and health checks reach. */
   get httpDependencies(): HttpDependencies {
+    const { links, heartbeatRouter, health, metrics, requestForwarder } = this.parts;
     return {
-      users: this.links.watchUsers(this.relay),
-      routeHeartbeat: (report) => this.router.route(report),
+      users: links.observeUsers(requestForwarder),
+      routeHeartbeat: (heartbeat) => heartbeatRouter.route(heartbeat),
       isHealthy: () => {
-        this.links.noteUserRequest();
-        return this.isHealthy();
+        links.noteUserRequest();
+        return health.isHealthy();
       },
-      linkStatus: () => this.links.status(),
-      decisions: () => this.metrics.report(this.settings.node),
+      linkStatus: () => links.status(),
+      decisions: () => metrics.report(this.settings.node),
       log: this.log,
     };
   }
 
-  /** Follows the records and acts on them from now on; the answer ends that. */
+  /** The exchange of link views with other controllers; null while the link monitor is off. */
+  get viewExchange(): LinkViewExchange | null {
+    return this.parts.peers.viewExchange;
+  }
+
+  /** Answers another controller's request, or one of this process itself. */
+  answerPeer(request: PeerRequest): Promise<PeerReply> {
+    return this.parts.peerRequests.handle(request);
+  }
+
+  /** Follows the records and acts on them; the function that is returned stops that and closes all connections to peers. */
   followRecords(): () => void {
-    const { timings: figures } = this;
-    const pace = {
-      waitMs: figures.feedWaitMs,
-      spacingMs: figures.feedSpacingMs,
-      retryMs: figures.feedSpacingMs * 4,
-    };
-    const feed = watchRecords(
-      this.state,
-      { whole: LIVE_PREFIX, followed: ROOT_PREFIX },
-      pace,
-      this.clock,
-      this.log,
-    );
-    pipeline(feed, this.replica, (err) => {
-      if (err && this.ticker !== null) this.log.error({ err }, "the feed of records ended");
-    });
-    this.ticker = setInterval(() => {
+    const { membership, peers, timings } = this.parts;
+    const stopped = new AbortController();
+    const watch = this.watchRecords(stopped.signal);
+    const ticker = setInterval(() => {
       this.tick();
-    }, figures.tickMs);
-    this.membership.tell({ kind: "tick" });
+    }, timings.tickMs);
+    membership.tell({ kind: "tick" });
     return () => {
-      if (this.ticker !== null) clearInterval(this.ticker);
-      this.ticker = null;
-      feed.destroy();
-      this.peers.close();
+      stopped.abort();
+      clearInterval(ticker);
+      watch.destroy();
+      peers.close();
     };
   }
 
+  /** Follows the records and begins to listen to users, workers and peers. */
   async start(): Promise<RunningController> {
-    const end = this.followRecords();
-    const peerPort = await this.peers.listen(this.settings.peerListen, (request) => this.answerPeer(request));
-    const server = await serve(this.httpDependencies, this.settings.listen, this.timings.idleConnectionMs);
+    const stopFollowing = this.followRecords();
+    const peerPort = await this.parts.peers.listen(this.settings.peerListen, (request) =>
+      this.answerPeer(request),
+    );
+    const { idleConnectionMs } = this.parts.timings;
+    const server = await serve(this.httpDependencies, this.settings.listen, idleConnectionMs);
     const { port } = server;
     this.log.info({ port, peerPort }, "listening");
-    return {
-      port,
-      peerPort,
-      close: () => {
-        end();
-        server.close();
-      },
+    const close = (): void => {
+      stopFollowing();
+      server.close();
     };
+    return { port, peerPort, close };
   }
 
-  /** Whether the records have not been followed for longer than a quiet watch stays open. */
-  private isBehind(): boolean {
-    return this.clock() - this.replica.completeAsOf > this.timings.behindMs;
-  }
-
-  /**
-   * A node that cannot follow the records stays up while peers answer it: either they answer its users' requests too,
-   * or the state service is down for all and no node would do better. Cut off from both, it sends users elsewhere.
-   */
-  private isHealthy(): boolean {
-    if (this.replica.completeAsOf === -Infinity) return false;
-    if (!this.isBehind() || this.settings.peers.length === 0) return true;
-    return this.clock() - this.peers.lastResponseAt < this.timings.behindMs;
-  }
-
-  private async forward(peer: string, { method, path, body }: UserRequest): Promise<UserResponse> {
-    const text = body === undefined ? "" : JSON.stringify(body);
-    const request = { forward: { method, path, body: text } };
-    const reply = await this.peers.request(peer, request, this.timings.lookupTimeoutMs);
-    if (!("answer" in reply)) return { status: 503, body: { error: "no answer" } };
-    return { status: reply.answer.status, body: parseJson(reply.answer.body) ?? {} };
-  }
-
-  private tick(): void {
-    this.membership.tell({ kind: "tick" });
-    this.shards.tick();
-    this.autoscaler.tell({ kind: "tick" });
-    this.links.tick();
-    if (this.isBehind()) this.pingPeers();
-  }
-
-  /** Whether this node is of any use without the records is for its peers' answers to show: see `healthy`. */
-  private pingPeers(): void {
-    const now = this.clock();
-    if (now - this.lastPing < this.timings.behindMs / 4) return;
-    this.lastPing = now;
-    for (const { node } of this.settings.peers) this.peers.request(node, { ping: {} }).catch(() => undefined);
-  }
-
-  private applyChanges(changes: RecordChange[] | null): void {
-    if (changes !== null) {
-      this.state.recordObservedWrites(changes.length);
-      this.jobs.applyChanges(changes);
-    }
-    this.fleet.applyChanges(this.replica, changes);
-    if (changes === null || changes.some((c) => c.key.startsWith(prefixes.machineTypes)))
-      this.typesByName = new Map(
-        this.replica
-          .list(prefixes.machineTypes)
-          .map((entry) => [(entry.value as MachineType).name, entry.value as MachineType]),
-      );
-    this.shards.applyChanges(changes);
-    if (changes === null || changes.some((c) => isMembershipKey(c.key)))
-      this.membership.tell({ kind: "records_changed" });
-  }
-
-  /** Where views of links come from and go to; null while the monitor is off. */
-  get viewExchange(): LinkViewExchange | null {
-    return this.peers.viewExchange;
-  }
-
-  private requestController(node: string | null, request: PeerRequest): Promise<PeerReply> {
-    if (node === this.settings.node) return this.answerPeer(request);
-    return node === null ? Promise.resolve(EMPTY_REPLY) : this.peers.request(node, request);
-  }
-
-  /** Answers another controller's request, or one of this process itself. */
-  answerPeer(request: PeerRequest): Promise<PeerReply> {
-    return handlePeerRequest(request, {
-      autoscaler: this.autoscaler,
-      membership: this.membership,
-      users: this.requestHandler,
-      ownerOf: (shard) => this.shards.ownerOf(shard),
-      mayHandOver: (shard) => this.links.policy.tryHandOver(shard),
-      linkStatus: () => this.links.status(),
-      recordSummary: (summary) => this.summaries.receive(summary),
+  private watchRecords(stopped: AbortSignal): Readable {
+    const { state, replica, timings } = this.parts;
+    const pace = {
+      waitMs: timings.watchWaitMs,
+      spacingMs: timings.watchSpacingMs,
+      retryMs: timings.watchSpacingMs * WATCH_RETRY_SPACINGS,
+    };
+    const scope = { whole: LIVE_PREFIX, followed: ROOT_PREFIX };
+    const watch = watchRecords(state, scope, pace, this.clock, this.log);
+    pipeline(watch, replica, (err) => {
+      if (err && !stopped.aborted) this.log.error({ err }, "watch of the records ended");
     });
+    return watch;
   }
 
-  /**
-   * Guards against starts after a confirmed cancellation where the owner alone cannot follow the records: the feed tells
-   * it otherwise, and the bound on the age of its view holds whether or not this arrives.
-   */
-  private notifyOwnerOfCancellation(shard: number, job: string): void {
-    this.requestController(this.membership.owner(shard), { cancelled: { shard, job } }).catch(
-      () => undefined,
-    );
-  }
-
-  private async taskCounts(shard: number, job: string): Promise<{ done: number; running: number } | null> {
-    const reply = await this.requestController(this.membership.owner(shard), {
-      lookup: { shard, job },
-    }).catch(() => null);
-    return reply !== null && "counts" in reply && reply.counts.known ? reply.counts : null;
+  private tick(): void {
+    const { membership, shards, autoscaler, links, health } = this.parts;
+    membership.tell({ kind: "tick" });
+    shards.tick();
+    autoscaler.tell({ kind: "tick" });
+    links.tick();
+    health.tick();
   }
 }
--- a/src/controller/dependencies.ts
+++ b/src/controller/dependencies.ts
@@ -1,4 +1,4 @@
-/** What a controller reaches from inside: a clock and the network. Tests put stand-ins in their place. */
+/** The clock and the network connections of a controller. Tests put stand-ins in their place. */
 import type { Settings } from "../config/settings.js";
 import { TcpPeerNetwork, type PeerNetwork } from "../peers/network.js";
 import { steadyClock, type SteadyClock } from "../runtime/clock.js";
@@ -6,24 +6,32 @@
 import type { Logger } from "../runtime/log.js";
 import { peerTimeoutMs } from "./timings.js";
 
-/** The clock, and the ways to everybody else. */
+/** The least number of connections for calls to the state service. */
+const MIN_STATE_SOCKETS = 4;
+/** Calls to the state service may use one in so many of the process's sockets. */
+const SOCKETS_PER_STATE_SOCKET = 50;
+const WATCH_SOCKETS = 2;
+const CLOUD_SOCKETS = 4;
+
+/** The clock, and the connections to all other services and controllers. */
 export interface ControllerDependencies {
   clock: SteadyClock;
   state: JsonClient;
-  /** Watches hold a connection each, so they must not stand in line with calls. */
+  /** Watches hold a connection each, so they must not queue with calls. */
   watches: JsonClient;
   cloud: JsonClient;
   peers: PeerNetwork;
 }
 
-/** The real network, as the settings name it. */
+/** Makes the real clock and network connections, to the addresses in the settings. */
 export function createDependencies(settings: Settings, log: Logger): ControllerDependencies {
   const { stateAddress, cloudAddress, sockets } = settings;
+  const stateSockets = Math.max(MIN_STATE_SOCKETS, Math.floor(sockets / SOCKETS_PER_STATE_SOCKET));
   return {
     clock: steadyClock,
-    state: new HttpJsonClient(stateAddress, Math.max(4, Math.floor(sockets / 50))),
-    watches: new HttpJsonClient(stateAddress, 2),
-    cloud: new HttpJsonClient(cloudAddress, 4),
+    state: new HttpJsonClient(stateAddress, stateSockets),
+    watches: new HttpJsonClient(stateAddress, WATCH_SOCKETS),
+    cloud: new HttpJsonClient(cloudAddress, CLOUD_SOCKETS),
     peers: new TcpPeerNetwork(settings.peers, peerTimeoutMs(settings), log),
   };
 }
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Brings workers' reports to the owner of their machine's shard. */
+/** Routes heartbeats to the owner of their machine's shard. The way of a heartbeat is described in http/heartbeats.ts. */
 import type { Autoscaler } from "../autoscaling/autoscaler.js";
 import type { HeartbeatRouting } from "../http/heartbeats.js";
 import type { LinkMonitoring } from "./link-monitoring.js";
@@ -13,77 +13,80 @@
 
 /** What the router needs of the rest of the process. */
 export interface HeartbeatRouterDependencies {
-  /** This node's name. */
-  node: string;
-  fleet: Fleet;
-  membership: Membership;
-  autoscaler: Autoscaler;
-  ownerOf: (shard: number) => ShardOwner | undefined;
-  askNode: (node: string | null, request: PeerRequest) => Promise<PeerReply>;
-  clock: SteadyClock;
-  /** How often an owner is told at most that its workers come here. */
-  misroutedSpacingMs: number;
-  maxMachines: number;
-  links: Pick<LinkMonitoring, "noteReport" | "noteMisrouted">;
+  /** This controller's name. */
+  readonly node: string;
+  readonly fleet: Fleet;
+  readonly membership: Membership;
+  readonly autoscaler: Autoscaler;
+  /** The owner of a shard, if it is in this process. */
+  readonly ownerOf: (shard: number) => ShardOwner | undefined;
+  readonly requestController: (node: string | null, request: PeerRequest) => Promise<PeerReply>;
+  readonly clock: SteadyClock;
+  /** The least time between two notices to an owner that its workers send their heartbeats here, in milliseconds. */
+  readonly misroutedSpacingMs: number;
+  /** The most machines that the cluster may have. */
+  readonly maxMachines: number;
+  readonly links: Pick<LinkMonitoring, "noteHeartbeat" | "noteMisrouted">;
 }
 
-/** Answers reports of this process's shards, and redirects all others. */
+/** Has heartbeats of this process's shards answered by their owners, and redirects all others. */
 export class HeartbeatRouter {
-  /** When the owner of a shard was last told that its workers come here. */
-  private readonly misroutedAt = new Map<number, number>();
+  /** When the owner of a shard was last notified that its workers send their heartbeats here; steady time. */
+  private readonly misroutedNoticeAt = new Map<number, number>();
 
   private readonly redirected: RedirectedWorkers;
 
-  constructor(private readonly parts: HeartbeatRouterDependencies) {
-    this.redirected = new RedirectedWorkers(parts.maxMachines, HEARTBEAT_TIMEOUT_S * 1000);
+  constructor(private readonly dependencies: HeartbeatRouterDependencies) {
+    this.redirected = new RedirectedWorkers(dependencies.maxMachines, HEARTBEAT_TIMEOUT_S * 1000);
   }
 
-  /** Answers the report, or tells the worker where to go. */
-  async route(report: Heartbeat): Promise<HeartbeatRouting> {
-    const record = this.parts.fleet.get(report.host);
+  /** Resolves to the owner's answer to a heartbeat, or to the controller that the worker is redirected to. */
+  async route(heartbeat: Heartbeat): Promise<HeartbeatRouting> {
+    const record = this.dependencies.fleet.get(heartbeat.host);
     if (record === undefined) {
-      // Only the leader gives machines to shards; the worker comes again until it has.
-      const leader = this.parts.membership.leader();
-      if (leader !== this.parts.node) return { kind: "redirect", owner: leader };
-      this.parts.autoscaler.tell({ kind: "unknown_machine", report });
+      // Only the leader assigns machines to shards; the worker sends its heartbeat again until that is done.
+      const leader = this.dependencies.membership.leader();
+      if (leader !== this.dependencies.node) return { kind: "redirect", owner: leader };
+      this.dependencies.autoscaler.tell({ kind: "unknown_machine", report: heartbeat });
       return { kind: "redirect", owner: null };
     }
-    const owner = this.parts.ownerOf(record.shard);
-    if (owner === undefined) this.reportMisrouted(record.shard, report);
-    else this.parts.links.noteReport(record.shard, report.highestToken);
+    const owner = this.dependencies.ownerOf(record.shard);
+    if (owner === undefined) this.noteMisrouted(record.shard, heartbeat);
+    else this.dependencies.links.noteHeartbeat(record.shard, heartbeat.highestToken);
     if (owner === undefined || owner.writableNeedDrain) return this.redirect(record.shard);
-    const answer = await owner.ask<HeartbeatResponse>((reply) => ({
+    const response = await owner.ask<HeartbeatResponse>((reply) => ({
       kind: "heartbeat",
-      heartbeat: report,
+      heartbeat,
       reply,
     }));
-    if (answer.kind === "refused") return this.redirect(record.shard);
-    const { token, commands } = answer.renewal;
+    if (response.kind === "refused") return this.redirect(record.shard);
+    const { token, commands } = response.renewal;
     return { kind: "commands", body: commandsToWire(token, commands) };
   }
 
   /**
    * Guards against losing all tasks of a shard whose owner is cut off from its workers alone: its lease lives on, and the
-   * others would send its workers back to it until their leases are over. A worker that follows the owner's token has
-   * spoken to it before; if it comes here now, its owner is told, and passes the shard on if it hears no worker at all. So
-   * does one that was sent to that owner before and comes back without its token: a new owner may never have been heard.
+   * others would redirect its workers to it until their leases have expired. A worker that follows the owner's token has
+   * reached it before; if its heartbeat comes here now, the owner is notified, and hands the shard over if it receives no
+   * heartbeat at all. The same holds for a worker that was redirected to that owner before and comes back without its
+   * token: a new owner may never have been reached.
    */
-  private reportMisrouted(shard: number, report: Heartbeat): void {
-    const owner = this.parts.membership.owner(shard);
-    const term = this.parts.membership.cluster.shards[shard]?.version;
+  private noteMisrouted(shard: number, heartbeat: Heartbeat): void {
+    const owner = this.dependencies.membership.owner(shard);
+    const term = this.dependencies.membership.cluster.shards[shard]?.version;
     if (owner === null || term === undefined) return;
-    const now = this.parts.clock();
-    if (report.highestToken !== term && !this.redirected.hasReturned(report.host, term, now)) return;
-    this.parts.links.noteMisrouted(shard, term, report.host);
-    if (now - (this.misroutedAt.get(shard) ?? -Infinity) < this.parts.misroutedSpacingMs) return;
-    this.misroutedAt.set(shard, now);
-    this.parts
-      .askNode(owner, { misroutedHeartbeat: { shard, cameTo: this.parts.node } })
+    const now = this.dependencies.clock();
+    if (heartbeat.highestToken !== term && !this.redirected.hasReturned(heartbeat.host, term, now)) return;
+    this.dependencies.links.noteMisrouted(shard, term, heartbeat.host);
+    if (now - (this.misroutedNoticeAt.get(shard) ?? -Infinity) < this.dependencies.misroutedSpacingMs) return;
+    this.misroutedNoticeAt.set(shard, now);
+    this.dependencies
+      .requestController(owner, { misroutedHeartbeat: { shard, cameTo: this.dependencies.node } })
       .catch(() => undefined);
   }
 
   private redirect(shard: number): HeartbeatRouting {
-    const owner = this.parts.membership.owner(shard);
-    return { kind: "redirect", owner: owner === this.parts.node ? null : owner };
+    const owner = this.dependencies.membership.owner(shard);
+    return { kind: "redirect", owner: owner === this.dependencies.node ? null : owner };
   }
 }
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -6,22 +6,34 @@
 import type { UserRequestHandler } from "../http/user-requests.js";
 import { UNRESTRICTED, type LinkPolicy } from "../links/access.js";
 import type { LinkName, ObservationSink } from "../links/model.js";
-import { LinkMonitor, type LinkMonitorHooks } from "../links/monitor.js";
+import { LinkMonitor, type LinkMonitorHooks, type LinkMonitorOptions } from "../links/monitor.js";
 import { isCloudTrouble, isUnavailable, ObservedCalls } from "../links/observed-calls.js";
 import { deriveLinkTimings } from "../links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../links/status.js";
 import type { Membership } from "../membership/membership.js";
 import type { PeerNetwork } from "../peers/network.js";
 import { ObservedPeerNetwork } from "../peers/observed-network.js";
+import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import type { ShardHost } from "./shard-host.js";
 import type { Timings } from "./timings.js";
 import { HEALTH_CHECK_S, HEARTBEAT_TIMEOUT_S } from "../wire/index.js";
 
-/** So many missed health checks make users' load balancer silent. */
+/** The number of missed health checks after which the users' load balancer counts as silent. */
 const SILENT_HEALTH_CHECKS = 5;
 
-/** The actors that the monitor asks and tells; they are made after it. */
+/** What the link monitoring is made from. */
+export interface LinkMonitoringDependencies {
+  readonly settings: Settings;
+  readonly operator: OperatorSettings;
+  readonly timings: Timings;
+  /** Tells this life of the controller from earlier ones. */
+  readonly incarnation: string;
+  readonly clock: SteadyClock;
+  readonly log: Logger;
+}
+
+/** The actors that the monitor queries and sends messages to; they are made after it. */
 export interface MonitoredActors {
   membership: Membership;
   shards: ShardHost;
@@ -31,40 +43,17 @@
 
 /** The link monitor of one controller, if operators have switched it on. */
 export class LinkMonitoring {
+  private readonly node: string;
   private readonly monitor: LinkMonitor | null;
-  private parts: MonitoredActors | null = null;
-
-  constructor(
-    private readonly settings: Settings,
-    operator: OperatorSettings,
-    timings: Timings,
-    incarnation: string,
-    { clock }: ControllerDependencies,
-    log: Logger,
-  ) {
-    const { links } = operator;
-    const { workers, peers, cloud, controllers } = settings;
-    const { callMs, tickMs, shardMovePeriodMs } = timings;
+  private actors: MonitoredActors | null = null;
+
+  constructor(dependencies: LinkMonitoringDependencies) {
+    this.node = dependencies.settings.node;
+    const { mode } = dependencies.operator.links;
     this.monitor =
-      links.mode === "off"
+      mode === "off"
         ? null
-        : new LinkMonitor(
-            {
-              node: settings.node,
-              incarnation,
-              peers: peers.map((peer) => peer.node),
-              mode: links.mode,
-              timings: deriveLinkTimings(links, { ...workers, callMs, tickMs, shardMovePeriodMs }),
-              probes: { cloudRps: cloud.rps, controllers, share: links.probe_share },
-              // A worker that gets no answer goes on to another controller after its time-out.
-              misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.reportMs,
-              maxMachines: operator.maxMachines,
-              usersSilentMs: SILENT_HEALTH_CHECKS * HEALTH_CHECK_S * 1000,
-              clock,
-            },
-            this.hooks(),
-            log,
-          );
+        : new LinkMonitor(monitorOptions(dependencies, mode), this.monitorCallbacks(), dependencies.log);
   }
 
   /** The policy as it applies right now. */
@@ -72,30 +61,30 @@
     return this.monitor ?? UNRESTRICTED;
   }
 
-  /** The actors exist from now on. */
-  attach(parts: MonitoredActors): void {
-    this.parts = parts;
-    if (this.monitor !== null) parts.peers.viewExchange = this.monitor;
+  /** Connects the actors, which exist from now on. */
+  attach(actors: MonitoredActors): void {
+    this.actors = actors;
+    if (this.monitor !== null) actors.peers.viewExchange = this.monitor;
   }
 
-  /** The network, watched. */
-  watch(around: ControllerDependencies): ControllerDependencies {
-    if (this.monitor === null) return around;
-    const { clock } = around;
+  /** The network with all calls observed by the monitor; unchanged while the monitor is off. */
+  observe(network: ControllerDependencies): ControllerDependencies {
+    if (this.monitor === null) return network;
+    const { clock } = network;
     const { sink } = this;
     const state = { link: "state" as const, refused: isUnavailable, sink, clock };
     const cloud = { link: "cloud" as const, refused: isCloudTrouble, sink, clock };
     return {
       clock,
-      state: new ObservedCalls(around.state, { ...state, timed: true }),
-      watches: new ObservedCalls(around.watches, { ...state, timed: false }),
-      cloud: new ObservedCalls(around.cloud, { ...cloud, timed: false }),
-      peers: new ObservedPeerNetwork(around.peers, sink),
+      state: new ObservedCalls(network.state, { ...state, timed: true }),
+      watches: new ObservedCalls(network.watches, { ...state, timed: false }),
+      cloud: new ObservedCalls(network.cloud, { ...cloud, timed: false }),
+      peers: new ObservedPeerNetwork(network.peers, sink),
     };
   }
 
-  /** Users' requests, watched. */
-  watchUsers(users: UserRequestHandler): UserRequestHandler {
+  /** A handler whose requests are observed by the monitor; unchanged while the monitor is off. */
+  observeUsers(users: UserRequestHandler): UserRequestHandler {
     if (this.monitor === null) return users;
     return {
       handle: (request) => {
@@ -105,55 +94,83 @@
     };
   }
 
-  /** A user's request or a health check came. */
+  /** Notes that a user's request or a health check was received. */
   noteUserRequest(): void {
     if (this.monitor !== null) this.sink({ kind: "delivered", link: "users", direction: "inbound" });
   }
 
-  /** A report of a worker of an own shard came; the token of the present term shows that an answer was taken. */
-  noteReport(shard: number, token: number): void {
+  /** Notes a heartbeat for a shard of this process; the token of the present term shows that the worker got an answer. */
+  noteHeartbeat(shard: number, token: number): void {
     if (this.monitor === null) return;
     this.sink({ kind: "delivered", link: "workers", direction: "inbound" });
-    if (token === this.parts?.membership.token(shard))
+    if (token === this.actors?.membership.token(shard))
       this.sink({ kind: "delivered", link: "workers", direction: "outbound" });
   }
 
-  /** A worker that follows the token of another controller's shard came here. */
+  /** Notes a heartbeat of a worker of another controller's shard. */
   noteMisrouted(shard: number, term: number, host: string): void {
     this.monitor?.tell({ kind: "misrouted", shard, term, host });
   }
 
+  /** Has the monitor act on the time that has passed. */
   tick(): void {
     this.monitor?.tell({ kind: "tick" });
   }
 
+  /** The state of all links, as operators see it. */
   status(): LinkStatus {
-    return this.monitor?.status() ?? statusWhileOff(this.settings.node);
+    return this.monitor?.status() ?? statusWhileOff(this.node);
   }
 
   private readonly sink: ObservationSink = (observation) => {
     this.monitor?.tell({ kind: "observed", observation });
   };
 
-  private hooks(): LinkMonitorHooks {
+  private monitorCallbacks(): LinkMonitorHooks {
     return {
-      ownedShards: () => this.parts?.shards.statuses() ?? [],
-      leads: () => this.parts !== null && this.parts.membership.leadership() !== null,
-      isMember: (node) => this.parts?.membership.cluster.members.has(node) ?? false,
+      ownedShards: () => this.actors?.shards.statuses() ?? [],
+      leads: () => this.actors !== null && this.actors.membership.leadership() !== null,
+      isMember: (node) => this.actors?.membership.cluster.members.has(node) ?? false,
       probe: (link) => {
         this.probe(link);
       },
-      handOver: (shard, to) => void this.parts?.membership.tell({ kind: "hand_over", shard, to }),
-      resign: () => void this.parts?.membership.tell({ kind: "resign" }),
+      handOver: (shard, targetNode) => {
+        this.actors?.membership.tell({ kind: "hand_over", shard, to: targetNode });
+      },
+      resign: () => {
+        this.actors?.membership.tell({ kind: "resign" });
+      },
     };
   }
 
-  /** Whatever comes of a probe is seen where all calls are. */
+  /** Probes a link; the result is observed like that of any other call. */
   private probe(link: LinkName): void {
-    if (this.parts === null) return;
-    const { cloud, peers } = this.parts;
+    if (this.actors === null) return;
+    const { cloud, peers } = this.actors;
     if (link === "cloud" && cloud.tryAcquireCall()) cloud.listMachineTypes().catch(() => undefined);
     const peer = /^peer:(.+)$/.exec(link)?.[1];
     if (peer !== undefined) peers.request(peer, { ping: {} }).catch(() => undefined);
   }
 }
+
+function monitorOptions(
+  { settings, operator, timings, incarnation, clock }: LinkMonitoringDependencies,
+  mode: LinkMonitorOptions["mode"],
+): LinkMonitorOptions {
+  const { links, maxMachines } = operator;
+  const { node, workers, peers, cloud, controllers } = settings;
+  const { callMs, tickMs, shardMovePeriodMs } = timings;
+  return {
+    node,
+    incarnation,
+    peers: peers.map((peer) => peer.node),
+    mode,
+    timings: deriveLinkTimings(links, { ...workers, callMs, tickMs, shardMovePeriodMs }),
+    probes: { cloudRps: cloud.rps, controllers, share: links.probe_share },
+    // A worker that gets no answer sends its heartbeat to another controller after its time-out.
+    misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.reportMs,
+    maxMachines,
+    usersSilentMs: SILENT_HEALTH_CHECKS * HEALTH_CHECK_S * 1000,
+    clock,
+  };
+}
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -1,4 +1,4 @@
-/** Answers what other controllers ask: each request goes to the actor that it is for. */
+/** Answers requests of other controllers: each is passed to the actor that it is for. */
 import type { Autoscaler } from "../autoscaling/autoscaler.js";
 import type { UserRequestHandler } from "../http/user-requests.js";
 import type { LinkStatus } from "../links/status.js";
@@ -7,86 +7,113 @@
 import type { ShardOwner } from "../shards/shard-owner.js";
 import { parseJson } from "../runtime/json-client.js";
 
-/** The answer where there is nothing to say. */
+/** The reply to a request that asks for no data. */
 export const EMPTY_REPLY: PeerReply = { accepted: { hosts: [] } };
 
-/** Where requests of other controllers go. */
+/** The parts of the controller that requests of other controllers are passed to. */
 export interface PeerRequestTargets {
-  autoscaler: Autoscaler;
-  membership: Membership;
-  users: UserRequestHandler;
+  readonly autoscaler: Autoscaler;
+  readonly membership: Membership;
+  readonly users: UserRequestHandler;
   /** The owner of a shard, if it is in this process. */
-  ownerOf: (shard: number) => ShardOwner | undefined;
+  readonly ownerOf: (shard: number) => ShardOwner | undefined;
   /** Whether a shard may be handed over for the sake of its workers. */
-  mayHandOver: (shard: number) => boolean;
+  readonly mayHandOver: (shard: number) => boolean;
   /** The state of this controller's links. */
-  linkStatus: () => LinkStatus;
-  /** Takes in how full a shard is, and tells how full all are. */
-  recordSummary: (summary: ShardSummary) => ShardLoadReport[];
+  readonly linkStatus: () => LinkStatus;
+  /** Records the load of a shard and returns the loads of all shards. */
+  readonly recordSummary: (summary: ShardSummary) => ShardLoadReport[];
 }
 
-/** Answers one request of another controller, or of this process itself. */
-export async function handlePeerRequest(
-  request: PeerRequest,
-  targets: PeerRequestTargets,
-): Promise<PeerReply> {
-  const { autoscaler, membership, users, ownerOf, recordSummary } = targets;
-  if ("summary" in request) {
-    const { summary } = request;
-    const notes = recordSummary(summary);
-    await autoscaler.ask<boolean>((reply) => ({ kind: "summary", summary, reply }));
+/** The body of one kind of request. */
+type BodyOf<Kind extends string> = Extract<PeerRequest, Record<Kind, unknown>>[Kind];
+
+/** Answers requests of other controllers, and of this process to itself. */
+export class PeerRequestHandler {
+  constructor(private readonly targets: PeerRequestTargets) {}
+
+  /** Answers one request. A kind that this version does not know gets an empty reply. */
+  async handle(request: PeerRequest): Promise<PeerReply> {
+    if ("summary" in request) return this.handleSummary(request.summary);
+    if ("linkStatus" in request) return this.handleLinkStatus();
+    if ("forward" in request) return this.handleForward(request.forward);
+    if ("lookup" in request) return this.handleLookup(request.lookup);
+    if ("drain" in request) return this.handleDrain(request.drain);
+    if ("give" in request) return this.handleMachineTransfer(request.give);
+    if ("handOver" in request) return this.handleHandOver(request.handOver);
+    if ("misroutedHeartbeat" in request) return this.handleMisroutedHeartbeat(request.misroutedHeartbeat);
+    if ("cancelled" in request) return this.handleCancelled(request.cancelled);
+    if ("transfer" in request) return this.handleJobMigration(request.transfer);
+    if ("cordon" in request) return this.handleCordon(request.cordon);
+    if ("ping" in request) return EMPTY_REPLY;
+    request satisfies never;
+    return EMPTY_REPLY;
+  }
+
+  private async handleSummary(summary: ShardSummary): Promise<PeerReply> {
+    const notes = this.targets.recordSummary(summary);
+    await this.targets.autoscaler.ask<boolean>((reply) => ({ kind: "summary", summary, reply }));
     return { loads: { notes } };
   }
-  if ("linkStatus" in request) return { linkReport: { json: JSON.stringify(targets.linkStatus()) } };
-  if ("forward" in request) return handleForwarded(request.forward, users);
-  if ("lookup" in request) {
-    const { shard, job } = request.lookup;
-    const owner = ownerOf(shard);
+
+  private handleLinkStatus(): PeerReply {
+    return { linkReport: { json: JSON.stringify(this.targets.linkStatus()) } };
+  }
+
+  private async handleForward({ method, path, body }: BodyOf<"forward">): Promise<PeerReply> {
+    const response = await this.targets.users.handle({ method, path, body: parseJson(body) });
+    return { answer: { status: response.status, body: JSON.stringify(response.body) } };
+  }
+
+  private async handleLookup({ shard, job }: BodyOf<"lookup">): Promise<PeerReply> {
+    const owner = this.targets.ownerOf(shard);
     if (owner === undefined) return { counts: { known: false, done: 0, running: 0 } };
     return { counts: await owner.ask((reply) => ({ kind: "task_counts", job, reply })) };
   }
-  if ("drain" in request || "give" in request) return handleMachineRemoval(request, ownerOf);
-  if ("handOver" in request) membership.tell({ kind: "hand_over", ...request.handOver });
-  if ("misroutedHeartbeat" in request) {
-    const { shard, cameTo } = request.misroutedHeartbeat;
-    // One worker alone says little; if none comes here any more, the shard is better off where they go.
-    if (ownerOf(shard)?.isCutOffFromWorkers && targets.mayHandOver(shard))
-      membership.tell({ kind: "hand_over", shard, to: cameTo });
+
+  private async handleDrain({ shard, hosts }: BodyOf<"drain">): Promise<PeerReply> {
+    const owner = this.targets.ownerOf(shard);
+    if (owner === undefined) return EMPTY_REPLY;
+    const accepted = await owner.ask<string[]>((reply) => ({ kind: "drain_machines", hosts, reply }));
+    return { accepted: { hosts: accepted } };
   }
-  if ("cancelled" in request) {
-    const { shard, job } = request.cancelled;
-    ownerOf(shard)?.tell({ kind: "job_cancelled", job });
+
+  private async handleMachineTransfer({ shard, to, hosts }: BodyOf<"give">): Promise<PeerReply> {
+    const owner = this.targets.ownerOf(shard);
+    if (owner === undefined) return EMPTY_REPLY;
+    const accepted = await owner.ask<string[]>((reply) => ({
+      kind: "transfer_machines",
+      targetShard: to,
+      hosts,
+      reply,
+    }));
+    return { accepted: { hosts: accepted } };
   }
-  if ("transfer" in request) {
-    const { shard, to, job } = request.transfer;
-    ownerOf(shard)?.tell({ kind: "migrate_job", targetShard: to, job });
+
+  private handleHandOver({ shard, to }: BodyOf<"handOver">): PeerReply {
+    this.targets.membership.tell({ kind: "hand_over", shard, to });
+    return EMPTY_REPLY;
   }
-  if ("cordon" in request) {
-    const { shard, to, demand } = request.cordon;
-    ownerOf(shard)?.tell({ kind: "cordon_machine", targetShard: to, demand });
+
+  private handleMisroutedHeartbeat({ shard, cameTo }: BodyOf<"misroutedHeartbeat">): PeerReply {
+    // One worker alone is weak evidence; if none reaches this node any more, the shard is better owned where they go.
+    if (this.targets.ownerOf(shard)?.isCutOffFromWorkers && this.targets.mayHandOver(shard))
+      this.targets.membership.tell({ kind: "hand_over", shard, to: cameTo });
+    return EMPTY_REPLY;
   }
-  return EMPTY_REPLY;
-}
 
-async function handleForwarded(
-  { method, path, body }: { method: string; path: string; body: string },
-  users: UserRequestHandler,
-): Promise<PeerReply> {
-  const { status, body: said } = await users.handle({ method, path, body: parseJson(body) });
-  return { answer: { status, body: JSON.stringify(said) } };
-}
+  private handleCancelled({ shard, job }: BodyOf<"cancelled">): PeerReply {
+    this.targets.ownerOf(shard)?.tell({ kind: "job_cancelled", job });
+    return EMPTY_REPLY;
+  }
+
+  private handleJobMigration({ shard, to, job }: BodyOf<"transfer">): PeerReply {
+    this.targets.ownerOf(shard)?.tell({ kind: "migrate_job", targetShard: to, job });
+    return EMPTY_REPLY;
+  }
 
-async function handleMachineRemoval(
-  request: Extract<PeerRequest, { drain: object } | { give: object }>,
-  ownerOf: PeerRequestTargets["ownerOf"],
-): Promise<PeerReply> {
-  const { shard, hosts } = "drain" in request ? request.drain : request.give;
-  const owner = ownerOf(shard);
-  if (owner === undefined) return EMPTY_REPLY;
-  const accepted = await owner.ask<string[]>((reply) =>
-    "drain" in request
-      ? { kind: "drain_machines", hosts, reply }
-      : { kind: "transfer_machines", targetShard: request.give.to, hosts, reply },
-  );
-  return { accepted: { hosts: accepted } };
+  private handleCordon({ shard, to, demand }: BodyOf<"cordon">): PeerReply {
+    this.targets.ownerOf(shard)?.tell({ kind: "cordon_machine", targetShard: to, demand });
+    return EMPTY_REPLY;
+  }
 }
--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -1,7 +1,8 @@
-/** The shards in this process's hands: an owner actor for each, from when the records name this process until they do not. */
+/** The shards that this process owns: an owner actor for each, from when the records name this process until they do not. */
 import type { Settings } from "../config/settings.js";
 import type { LinkPolicy } from "../links/access.js";
 import type { OwnedShardStatus } from "../links/remedies.js";
+import type { ControllerRecord } from "../membership/cluster-records.js";
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { Membership } from "../membership/membership.js";
 import type { ShardSummary } from "../peers/messages.js";
@@ -9,7 +10,7 @@
 import type { DecisionMetrics } from "../shards/decision-metrics.js";
 import { Shard } from "../shards/shard.js";
 import { ShardOwner } from "../shards/shard-owner.js";
-import type { ShardOwnerTimings } from "../shards/shard-owner-messages.js";
+import type { ShardOwnerCallbacks, ShardOwnerTimings } from "../shards/shard-owner-messages.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import type { StateStoreClient } from "../state/state-store-client.js";
@@ -19,23 +20,26 @@
 
 /** What the host needs of the rest of the process. */
 export interface ShardHostDependencies {
-  settings: Settings;
-  timings: ShardOwnerTimings & RenewalGuardTimings;
-  metrics: DecisionMetrics;
-  state: StateStoreClient;
-  replica: Replica;
-  fleet: Fleet;
-  membership: Membership;
-  links: LinkPolicy;
-  types: () => Map<string, MachineType>;
-  sendSummary: (summary: ShardSummary) => void;
-  clock: SteadyClock;
-  log: Logger;
+  readonly settings: Settings;
+  readonly timings: ShardOwnerTimings & RenewalGuardTimings;
+  readonly metrics: DecisionMetrics;
+  readonly state: StateStoreClient;
+  readonly replica: Replica;
+  readonly fleet: Fleet;
+  readonly membership: Membership;
+  readonly links: LinkPolicy;
+  /** The machine types in the records, by name. */
+  readonly machineTypes: () => Map<string, MachineType>;
+  /** Sends the summary of a shard to the leader. */
+  readonly sendSummary: (summary: ShardSummary) => void;
+  readonly clock: SteadyClock;
+  readonly log: Logger;
 }
 
-/** A shard in this process's hands, and the version of its record that was last found to continue its term. */
+/** A shard that this process owns. */
 interface OwnedShard {
   owner: ShardOwner;
+  /** The version of the shard's record that was last found to continue the owner's term. */
   token: number;
 }
 
@@ -43,24 +47,26 @@
 export class ShardHost {
   private readonly shards = new Map<number, OwnedShard>();
 
-  constructor(private readonly parts: ShardHostDependencies) {}
+  constructor(private readonly dependencies: ShardHostDependencies) {}
 
   /** The owner of a shard, if it is in this process. */
   ownerOf(shard: number): ShardOwner | undefined {
     return this.shards.get(shard)?.owner;
   }
 
+  /** Has all owners act on the time that has passed. */
   tick(): void {
     for (const { owner } of this.shards.values()) owner.tell({ kind: "tick" });
   }
 
-  /** Passes on changed records; null: everything may be different. */
+  /** Passes changed records to all owners; null means that anything may have changed. */
   applyChanges(changes: RecordChange[] | null): void {
+    const { completeAsOf } = this.dependencies.replica;
     for (const { owner } of this.shards.values())
-      owner.tell({ kind: "records_changed", changes, completeAsOf: this.parts.replica.completeAsOf });
+      owner.tell({ kind: "records_changed", changes, completeAsOf });
   }
 
-  /** Which workers are expected to report here. */
+  /** From how many workers heartbeats are expected here, by shard. */
   statuses(): OwnedShardStatus[] {
     return Array.from(this.shards, ([shard, { owner, token }]) => ({
       shard,
@@ -69,51 +75,68 @@
     }));
   }
 
-  /** Starts owners for shards that have become ours and drops those of shards that have not stayed so. */
+  /** Starts owners for shards that the records now assign to this process, and retires those of all others. */
   reconcileOwnership(): void {
-    const { membership, log } = this.parts;
-    const { cluster, self: me } = membership;
+    const { cluster } = this.dependencies.membership;
     cluster.shards.forEach((record, shard) => {
-      const ours = record !== null && record.node === me.node && record.incarnation === me.incarnation;
-      let owned = this.shards.get(shard);
-      if (owned && (!ours || !membership.continuesTerm(shard, owned.token))) {
-        this.shards.delete(shard);
-        owned.owner.retire();
-        owned = undefined;
-        log.info({ shard, owner: record?.node }, "shard lost");
-      }
-      if (!ours) return;
-      if (owned) owned.token = record.version;
-      else {
-        this.shards.set(shard, this.startOwner(shard, record.version));
-        const viewAgeMs = Math.round(this.parts.clock() - this.parts.replica.completeAsOf);
-        const { revision } = this.parts.replica;
-        log.info({ shard, token: record.version, revision, viewAgeMs }, "shard owned");
-      }
+      this.reconcileShard(shard, record);
     });
   }
 
-  private startOwner(n: number, token: number): OwnedShard {
-    const { settings, timings, state, replica, fleet, membership, links, types, metrics, clock, log } =
-      this.parts;
-    const shard = new Shard(n, token, clock(), settings, types, replica, log, metrics);
-    const hooks = {
-      // The token counts only for the owner whose term it belongs to.
-      authority: (): ShardAuthority => {
-        const current = membership.authority(n);
-        const sameTerm = current.held && current.token === owned.token && this.shards.get(n) === owned;
-        if (sameTerm || !current.held) return current;
-        const { leaseLeftMs, viewAgeMs } = current;
-        return { held: false, reason: "other_term", leaseLeftMs, viewAgeMs };
+  private reconcileShard(shard: number, record: ControllerRecord | null): void {
+    const { membership } = this.dependencies;
+    const { self } = membership;
+    const isOurs = record !== null && record.node === self.node && record.incarnation === self.incarnation;
+    const owned = this.shards.get(shard);
+    const continuesTerm = isOurs && owned !== undefined && membership.continuesTerm(shard, owned.token);
+    if (owned !== undefined && !continuesTerm) this.retireOwner(shard, owned, record?.node);
+    if (!isOurs) return;
+    if (continuesTerm) owned.token = record.version;
+    else this.startOwner(shard, record.version);
+  }
+
+  private retireOwner(shard: number, owned: OwnedShard, nextOwner: string | undefined): void {
+    this.shards.delete(shard);
+    owned.owner.retire();
+    this.dependencies.log.info({ shard, owner: nextOwner }, "shard lost");
+  }
+
+  private startOwner(shard: number, token: number): void {
+    const { replica, clock, log } = this.dependencies;
+    this.shards.set(shard, this.makeOwnedShard(shard, token));
+    const viewAgeMs = Math.round(clock() - replica.completeAsOf);
+    log.info({ shard, token, revision: replica.revision, viewAgeMs }, "shard owned");
+  }
+
+  private makeOwnedShard(id: number, token: number): OwnedShard {
+    const { settings, timings, state, replica, fleet, machineTypes, metrics, clock, log } = this.dependencies;
+    const shard = new Shard(id, token, clock(), settings, machineTypes, replica, log, metrics);
+    const callbacks = this.ownerCallbacks(id, () => owned);
+    const guard = new RenewalGuard(id, timings, metrics, clock, log);
+    const owner = new ShardOwner(shard, timings, state, replica, fleet, clock, callbacks, guard, log);
+    const owned: OwnedShard = { owner, token };
+    return owned;
+  }
+
+  private ownerCallbacks(shard: number, ownedShard: () => OwnedShard): ShardOwnerCallbacks {
+    const { membership, links, sendSummary } = this.dependencies;
+    return {
+      authority: () => this.authorityOf(shard, ownedShard()),
+      advanceToken: () => {
+        membership.tell({ kind: "advance_token", shard });
       },
-      advanceToken: () => void membership.tell({ kind: "advance_token", shard: n }),
-      sendSummary: this.parts.sendSummary,
+      sendSummary,
       mayPlace: () => links.allows("start"),
       mayRemoveMachines: () => links.allows("return"),
     };
-    const gate = new RenewalGuard(n, timings, metrics, clock, log);
-    const owner = new ShardOwner(shard, timings, state, replica, fleet, clock, hooks, gate, log);
-    const owned: OwnedShard = { owner, token };
-    return owned;
+  }
+
+  /** The authority over a shard; the token counts only for the owner whose term it belongs to. */
+  private authorityOf(shard: number, owned: OwnedShard): ShardAuthority {
+    const current = this.dependencies.membership.authority(shard);
+    if (!current.held) return current;
+    if (current.token === owned.token && this.shards.get(shard) === owned) return current;
+    const { leaseLeftMs, viewAgeMs } = current;
+    return { held: false, reason: "other_term", leaseLeftMs, viewAgeMs };
   }
 }
--- a/src/controller/summary-exchange.ts
+++ b/src/controller/summary-exchange.ts
@@ -1,4 +1,4 @@
-/** Summaries to the leader, and how full all shards are from it. */
+/** Sends shard summaries to the leader, and keeps the loads of all shards that come back from it. */
 import { toDemandRecord } from "../autoscaling/demand-record.js";
 import type { ShardAssignment } from "../jobs/shard-assignment.js";
 import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/messages.js";
@@ -9,70 +9,84 @@
 
 /** What the exchange needs of the rest of the process. */
 export interface SummaryExchangeDependencies {
-  assignment: ShardAssignment;
-  state: StateStoreClient;
-  leader: () => string | null;
-  askNode: (node: string | null, request: PeerRequest) => Promise<PeerReply>;
-  clock: SteadyClock;
-  log: Logger;
-  /** The time between two reconciliation passes. */
-  spacingMs: number;
-  /** How large a value in the records may be. */
-  valueBytes: number;
-  /** How long a summary may wait to be written. */
-  queueTimeoutMs: number;
+  readonly assignment: ShardAssignment;
+  readonly state: StateStoreClient;
+  /** The name of the leader, or null where none is known. */
+  readonly leader: () => string | null;
+  readonly requestController: (node: string | null, request: PeerRequest) => Promise<PeerReply>;
+  readonly clock: SteadyClock;
+  readonly log: Logger;
+  /** The time between two reconciliation passes, in milliseconds. */
+  readonly spacingMs: number;
+  /** The largest value that a record may have, in bytes. */
+  readonly valueBytes: number;
+  /** How long a summary may wait until it is sent to the state service, in milliseconds. */
+  readonly queueTimeoutMs: number;
 }
 
-/** Keeps what this node knows of how full the shards are. */
+/** A summary is written to the records at most once in so many reconciliation passes. */
+const PASSES_PER_STORED_SUMMARY = 2;
+
+/** Keeps the load of each shard as far as this node knows it. */
 export class SummaryExchange {
-  /** When a shard's summary was last left in the records. */
-  private readonly leftAt = new Map<number, number>();
-  /** How full each shard was when it was last heard of. */
+  /** When a shard's summary was last written to the records; steady time. */
+  private readonly storedAt = new Map<number, number>();
+  /** The last known load of each shard. */
   private readonly loads = new Map<number, ShardLoadReport>();
 
-  constructor(private readonly parts: SummaryExchangeDependencies) {}
+  constructor(private readonly dependencies: SummaryExchangeDependencies) {}
 
-  /** Takes in a summary as the leader, and tells how full all shards are where jobs are assigned by that. */
+  /** Records a summary as the leader; returns the loads of all shards where jobs are assigned by load. */
   receive(summary: ShardSummary): ShardLoadReport[] {
     this.record(summary);
-    return this.parts.assignment.balancesByLoad ? [...this.loads.values()] : [];
+    return this.dependencies.assignment.balancesByLoad ? [...this.loads.values()] : [];
   }
 
-  /** Sends a summary to the leader alone, who sizes by it and says how full the other shards are: what nodes say to each other adds up. */
+  /**
+   * Sends a summary to the leader, which scales by it and replies with the loads of the other shards. Only the leader gets
+   * it: messages from each node to each other node would add up.
+   */
   send(summary: ShardSummary): void {
     this.record(summary);
-    this.parts
-      .askNode(this.parts.leader(), { summary })
+    this.dependencies
+      .requestController(this.dependencies.leader(), { summary })
       .then((reply) => {
-        if ("loads" in reply) for (const note of reply.loads.notes) this.record(note);
+        if ("loads" in reply) for (const load of reply.loads.notes) this.record(load);
       })
       .catch(() => {
         this.storeSummary(summary);
       });
   }
 
-  /** The leader cannot be reached, or not by us: it may still read the records. */
+  /** Writes the summary where the leader does not reply: it may still read the records. */
   private storeSummary(summary: ShardSummary): void {
-    const now = this.parts.clock();
+    const now = this.dependencies.clock();
     const { shard, token } = summary;
-    if (now - (this.leftAt.get(shard) ?? -Infinity) < 2 * this.parts.spacingMs) return;
-    this.leftAt.set(shard, now);
-    const write = { put: keys.shardDemand(shard), value: toDemandRecord(summary, this.parts.valueBytes) };
-    this.parts.state
+    if (
+      now - (this.storedAt.get(shard) ?? -Infinity) <
+      PASSES_PER_STORED_SUMMARY * this.dependencies.spacingMs
+    )
+      return;
+    this.storedAt.set(shard, now);
+    const write = {
+      put: keys.shardDemand(shard),
+      value: toDemandRecord(summary, this.dependencies.valueBytes),
+    };
+    this.dependencies.state
       .compareAndSwap(
         [{ key: keys.shard(shard), version: token }],
         [write],
         "note",
-        this.parts.queueTimeoutMs,
+        this.dependencies.queueTimeoutMs,
       )
       .catch((err: unknown) => {
-        this.parts.log.debug({ shard, err: (err as Error).message }, "summary not left in the records");
+        this.dependencies.log.debug({ shard, err }, "shard summary not written to the records");
       });
   }
 
   private record({ shard, load }: ShardLoadReport): void {
     this.loads.set(shard, { shard, load });
-    this.parts.assignment.recordLoad(shard, {
+    this.dependencies.assignment.recordLoad(shard, {
       capacity: load.cpus,
       backlog: load.waiting + load.used - load.cpus,
     });
--- a/src/controller/timings.ts
+++ b/src/controller/timings.ts
@@ -1,58 +1,82 @@
-/** The durations that this program goes by, derived from the settings. */
+/** The durations that the controller goes by, derived from the settings. */
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
+import type { MembershipTimings } from "../membership/membership-messages.js";
 import { HEARTBEAT_TIMEOUT_S } from "../wire/index.js";
 
-/** Peers answer at once or not in time for a user. */
-export const peerTimeoutMs = ({ workers }: Settings): number =>
-  Math.min(workers.leaseMs / 20, (HEARTBEAT_TIMEOUT_S * 1000) / 8);
+/** Part of the state service's request rate that the watches of all controllers may use. */
+const WATCH_REQUEST_SHARE = 0.2;
 
-/** The part of the state service's requests that may go to following its changes. */
-const FEED_PART = 0.2;
+/** Ticks of the actors between two heartbeats of one worker. */
+const TICKS_PER_HEARTBEAT = 5;
 
-/** How often the actors look at the clock between two reports of one worker. */
-const TICKS_PER_REPORT = 5;
+/** The durations of one controller, each a ratio to one of the settings; milliseconds unless said otherwise. */
+export interface Timings extends MembershipTimings {
+  /** Time-out of a call to the state service. */
+  callMs: number;
+  /** A replica that has not been current for longer than this is behind. */
+  behindMs: number;
+  /** Time-out of a request to a peer. */
+  peerMs: number;
+  /** How long the state service may hold a watch request open while nothing changes. */
+  watchWaitMs: number;
+  /** The least time between two watch requests. */
+  watchSpacingMs: number;
+  /** How long a submission or cancellation may wait until it is sent to the state service. */
+  submitQueueTimeoutMs: number;
+  /** How long a question about a job may wait for the replica to become current, or for a peer's reply. */
+  lookupTimeoutMs: number;
+  /** Period of the actors' ticks. */
+  tickMs: number;
+  /** The number of ticks without a heartbeat after which a shard's workers count as unable to reach this node. */
+  quietTicks: number;
+  /** An HTTP connection on which nothing was received for this long is closed. */
+  idleConnectionMs: number;
+  /** The least time between two notices to an owner that its workers send their heartbeats to this controller. */
+  misroutedSpacingMs: number;
+  /** The most time that one placement round may take. */
+  roundMs: number;
+  /** The least time between two searches for tasks to preempt. */
+  preemptMs: number;
+}
 
-/** Durations in milliseconds, each a ratio to one of the settings, with its reason. */
-export type Timings = ReturnType<typeof deriveTimings>;
+/** Time-out of a request to a peer, in milliseconds: peers answer at once or not in time for a user. */
+export const peerTimeoutMs = ({ workers }: Settings): number =>
+  Math.min(workers.leaseMs / 20, (HEARTBEAT_TIMEOUT_S * 1000) / 8);
 
-/** What the figures of the settings come to for this program. */
-export function deriveTimings(settings: Settings, operator: OperatorSettings) {
+/** Derives the controller's durations from the settings. */
+export function deriveTimings(settings: Settings, operator: OperatorSettings): Timings {
   const { leaseMs, reportMs, cancelMs } = settings.workers;
   const { controllers } = settings;
   const { rps } = settings.state;
   const membershipLeaseMs = Math.round(leaseMs / 2);
   return {
-    /** Half a lease: after an owner's silent end there is time to find another before its workers give up. */
+    // Half a worker's lease: when an owner fails there is time for a failover before its workers give up.
     membershipLeaseMs,
-    /** Time between checking a right and acting on it, on a machine with a part of a core. */
+    // Time between checking a right and acting on it, on a machine with a part of a core.
     marginMs: membershipLeaseMs / 10,
-    /** A cancelled task must be gone in time even where the last renewal was made on the oldest allowed view. */
+    // A cancelled task must be gone in time even where the last renewal was made on the oldest allowed view.
     staleMs: cancelMs - leaseMs - 2 * reportMs,
     shardMovePeriodMs: operator.shardMovePeriodMs,
-    /** Calls to the state service take milliseconds; four of these fit into a membership lease. */
+    // Calls to the state service take milliseconds; four of these fit into a membership lease.
     callMs: membershipLeaseMs / 5,
-    /** A quiet watch is answered after a report interval; past two of them something is wrong. */
+    // A quiet watch is answered after a heartbeat interval; past two of them something is wrong.
     behindMs: 2 * reportMs,
     peerMs: peerTimeoutMs(settings),
-    feedWaitMs: reportMs,
-    /** Watches of all nodes together take a part of the service's requests, but none comes more often than needed. */
-    feedSpacingMs: Math.max(reportMs / 10, (controllers / (FEED_PART * rps)) * 1000),
-    /** A user waits five seconds for an answer to a submission, and two for one to a question. */
+    watchWaitMs: reportMs,
+    // Watches of all nodes together use a part of the service's request rate, but none comes more often than needed.
+    watchSpacingMs: Math.max(reportMs / 10, (controllers / (WATCH_REQUEST_SHARE * rps)) * 1000),
+    // A user waits five seconds for the answer to a submission, and two for the answer to a question.
     submitQueueTimeoutMs: membershipLeaseMs / 4,
     lookupTimeoutMs: membershipLeaseMs / 5,
-    tickMs: reportMs / TICKS_PER_REPORT,
-    /** A worker that can reach its owner reports within one and a quarter of the interval. */
-    quietTicks: (3 / 2) * TICKS_PER_REPORT,
-    /**
-     * A connection on which nothing came for so long is closed. Users come every five seconds and workers every report
-     * interval; past its lease a worker has no use for the connection. Guards against a controller out of sockets: where
-     * users open a connection for each question, those of the last minutes would take all that it has.
-     */
+    tickMs: reportMs / TICKS_PER_HEARTBEAT,
+    // A worker that can reach its owner sends a heartbeat within one and a quarter of the interval.
+    quietTicks: (3 / 2) * TICKS_PER_HEARTBEAT,
+    // Users send a request every five seconds and workers one every heartbeat interval; past its lease a worker has no use
+    // for the connection. Guards against a controller out of sockets: where users open a connection for each question,
+    // those of the last minutes would take all that it has.
     idleConnectionMs: leaseMs,
-    /** How often an owner is told that its workers come elsewhere. */
     misroutedSpacingMs: reportMs / 4,
-    /** A round of placing may take so much of the time between two reports of one worker. */
     roundMs: reportMs / 50,
     preemptMs: reportMs / 2,
   };
--- a/src/http/request-forwarder.ts
+++ b/src/http/request-forwarder.ts
@@ -11,11 +11,11 @@
   own: UserRequestHandler;
   peers: string[];
   /** Asks a peer, which answers itself or not at all: a request is passed on once. */
-  ask: (peer: string, request: UserRequest) => Promise<UserResponse>;
+  forward: (peer: string, request: UserRequest) => Promise<UserResponse>;
   /** Whether this node is known to be behind, so that asking itself only costs time. */
-  behind: () => boolean;
+  isBehind: () => boolean;
   /** Whether no controller can answer now, so that asking peers only costs time. */
-  nobodyCan: () => boolean;
+  isOutage: () => boolean;
   /** How long a peer that could not answer is not asked again. */
   pauseMs: number;
   clock: SteadyClock;
@@ -36,9 +36,9 @@
   constructor(private readonly parts: RequestForwarderDependencies) {}
 
   async handle(request: UserRequest): Promise<UserResponse> {
-    const { own, behind } = this.parts;
-    const first = behind() ? UNAVAILABLE : await own.handle(request);
-    if (first.status !== 503 || this.parts.nobodyCan()) return first;
+    const { own, isBehind } = this.parts;
+    const first = isBehind() ? UNAVAILABLE : await own.handle(request);
+    if (first.status !== 503 || this.parts.isOutage()) return first;
     for (const peer of this.candidates()) {
       const answer = await this.askPeer(peer, request);
       if (answer.status !== 503) return answer;
@@ -47,9 +47,9 @@
   }
 
   private async askPeer(peer: string, request: UserRequest): Promise<UserResponse> {
-    const { ask, clock, pauseMs, log } = this.parts;
+    const { forward, clock, pauseMs, log } = this.parts;
     try {
-      const answer = await ask(peer, request);
+      const answer = await forward(peer, request);
       if (answer.status === 503) this.pausedUntil.set(peer, clock() + pauseMs);
       return answer;
     } catch (err) {
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -6,7 +6,7 @@
 import { handleHeartbeat } from "./heartbeats.js";
 
 /** A server that listens. */
-export interface HttpServerHandle {
+export interface ListeningServer {
   port: number;
   close(): void;
 }
@@ -16,7 +16,7 @@
   parts: HttpDependencies,
   address: string,
   idleMs: number,
-): Promise<HttpServerHandle> {
+): Promise<ListeningServer> {
   const handle = createApp(parts).callback();
   const server = createServer((request, response) => void handle(request, response));
   // Users and workers keep their connections; closing them between two polls costs both sides.
--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,14 +1,18 @@
-/** Whether a job can ever run. Pure. */
-import type { Settings } from "../config/settings.js";
+/** Admission control: whether a job can ever run. Pure. */
+import type { Settings, Team } from "../config/settings.js";
 import type { JobSpec, MachineType } from "../wire/index.js";
 
+/** Why a job is not accepted: its submission is wrong in itself, or no machine could ever run it. */
+export interface Rejection {
+  kind: "malformed" | "impossible";
+  /** One line for the user. */
+  reason: string;
+}
+
 /** Whether a job can run, and if not why. */
-export type Admission = { kind: "ok" } | { kind: "malformed" | "impossible"; reason: string };
+export type Admission = { kind: "ok" } | Rejection;
 
-/** Whether one task of the job fits an empty machine of this type. */
-export function fitsType(spec: Pick<JobSpec, "cpus" | "gpus" | "memoryGb">, type: MachineType): boolean {
-  return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
-}
+const impossible = (reason: string): Rejection => ({ kind: "impossible", reason });
 
 /** Checks a submission against teams, zones and machine types. */
 export function checkAdmission(
@@ -18,23 +22,35 @@
 ): Admission {
   if (spec.zone !== null && !settings.zones.includes(spec.zone))
     return { kind: "malformed", reason: `bank: no such zone as ${spec.zone}` };
-  const team = settings.teams.find((t) => t.name === spec.team);
-  if (team === undefined) return { kind: "impossible", reason: `unknown team ${spec.team}` };
-  if ((team.cpusMax > 0 && spec.cpus > team.cpusMax) || (team.gpusMax > 0 && spec.gpus > team.gpusMax))
-    return { kind: "impossible", reason: `one task is over the limit of team ${team.name}` };
-  const fitting = types.filter(
-    (type) =>
-      (spec.types === null || spec.types.includes(type.name)) &&
-      (spec.zone === null || type.zones.includes(spec.zone)) &&
-      fitsType(spec, type),
-  );
-  if (fitting.length === 0) return { kind: "impossible", reason: "a task fits no allowed machine type" };
-  // Guards against a job that waits for ever: half of its tasks, rounded up, would be all that may run.
-  const zones = new Set(fitting.flatMap((type) => (spec.zone === null ? type.zones : [spec.zone])));
-  if (spec.spread && spec.tasks > 1 && (spec.oneZone || zones.size < 2))
-    return {
-      kind: "impossible",
-      reason: "no zone may hold more than half of its tasks, and one would have to",
-    };
+  const team = settings.teams.find(({ name }) => name === spec.team);
+  if (team === undefined) return impossible(`unknown team ${spec.team}`);
+  if (exceedsLimit(spec, team)) return impossible(`one task is over the limit of team ${team.name}`);
+  const fittingTypes = types.filter((type) => isAllowedType(spec, type) && fitsType(spec, type));
+  if (fittingTypes.length === 0) return impossible("a task fits no allowed machine type");
+  if (spec.spread && spec.tasks > 1 && !canSpread(spec, fittingTypes))
+    return impossible("no zone may hold more than half of its tasks, and one would have to");
   return { kind: "ok" };
 }
+
+function exceedsLimit(spec: JobSpec, team: Team): boolean {
+  const exceedsCpus = team.cpusMax > 0 && spec.cpus > team.cpusMax;
+  const exceedsGpus = team.gpusMax > 0 && spec.gpus > team.gpusMax;
+  return exceedsCpus || exceedsGpus;
+}
+
+function isAllowedType(spec: JobSpec, type: MachineType): boolean {
+  const isOfAllowedType = spec.types === null || spec.types.includes(type.name);
+  const isInAllowedZone = spec.zone === null || type.zones.includes(spec.zone);
+  return isOfAllowedType && isInAllowedZone;
+}
+
+/** Whether one task of the job fits an empty machine of this type. */
+function fitsType(spec: JobSpec, type: MachineType): boolean {
+  return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
+}
+
+/** Guards against a job that waits for ever: half of its tasks, rounded up, would be all that may run. */
+function canSpread(spec: JobSpec, fittingTypes: MachineType[]): boolean {
+  const zones = new Set(fittingTypes.flatMap((type) => (spec.zone === null ? type.zones : [spec.zone])));
+  return !spec.oneZone && zones.size >= 2;
+}
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -1,4 +1,7 @@
-/** The records of jobs: live ones, their completed tasks, and what is kept of those that are over. */
+/**
+ * The records of jobs: live ones, their completed tasks, and what is kept of those that are over. The stored form is known
+ * here alone; the rest of the program goes by the types of this module.
+ */
 import * as z from "zod";
 import { PRIORITIES, type JobSpec } from "../wire/index.js";
 
@@ -24,39 +27,82 @@
   deadlineS: z.number().nullable(),
 }) satisfies z.ZodType<JobSpec>;
 
-/**
- * The shard is chosen when the job is accepted, and may change once before its first task starts. `mostAtOnce` bounds
- * how many tasks may run at a time where another shard keeps the limit of the job's team. `guest` says that it has passed
- * to a shard of other teams. `acceptedAt` is time of day: it
- * orders jobs and dates deadlines, and nothing safe hangs on it.
- */
-const jobRecordSchema = z.object({
-  spec: specSchema,
-  shard: z.int().nonnegative(),
-  acceptedAt: z.number(),
-  mostAtOnce: z.int().positive().nullish(),
-  guest: z.boolean().nullish(),
-});
-/** A live job as the state service holds it. */
-export type JobRecord = z.infer<typeof jobRecordSchema>;
+/** A live job as the state service holds it. The last two fields are absent unless the job has migrated. */
+const jobRecordSchema = z
+  .object({
+    spec: specSchema,
+    shard: z.int().nonnegative(),
+    acceptedAt: z.number(),
+    mostAtOnce: z.int().positive().nullish(),
+    guest: z.boolean().nullish(),
+  })
+  .transform(({ spec, shard, acceptedAt, mostAtOnce, guest }): JobRecord => ({
+    spec,
+    shard,
+    acceptedAt,
+    maxParallelTasks: mostAtOnce ?? null,
+    migratedIn: guest ?? false,
+  }));
+
+/** A live job. */
+export interface JobRecord {
+  spec: JobSpec;
+  /** Chosen when the job is accepted; changes at most once, before its first task starts. */
+  shard: number;
+  /** Time of day in milliseconds: it orders jobs and dates deadlines, and nothing safe depends on it. */
+  acceptedAt: number;
+  /** How many tasks may run at a time where another shard keeps the limit of the job's team; null for any number. */
+  maxParallelTasks: number | null;
+  /** Whether the job has migrated to a shard of other teams. */
+  migratedIn: boolean;
+}
+
+/** The stored form of a live job. */
+export function encodeJob({ spec, shard, acceptedAt, maxParallelTasks, migratedIn }: JobRecord): object {
+  return {
+    spec,
+    shard,
+    acceptedAt,
+    ...(maxParallelTasks !== null && { mostAtOnce: maxParallelTasks }),
+    ...(migratedIn && { guest: true }),
+  };
+}
+
+/** Decodes a live job; null where the value cannot be read. */
+export function readJob(value: unknown): JobRecord | null {
+  return jobRecordSchema.safeParse(value).data ?? null;
+}
 
 const quotaReservationSchema = z.object({ team: z.string(), cpus: z.number(), gpus: z.number() });
-/** What a job that has passed to another shard may use of its team's limit, in all. */
+
+/** What a job that has migrated to another shard may use of its team's limit, in all. */
 export type QuotaReservation = z.infer<typeof quotaReservationSchema>;
 
+/** Decodes a quota reservation; null where the value cannot be read. */
+export function readQuotaReservation(value: unknown): QuotaReservation | null {
+  return quotaReservationSchema.safeParse(value).data ?? null;
+}
+
 const endedSchema = z.object({ stage: z.enum(["done", "cancelled"]), done: z.number() });
-/** A job that is over; kept for good. */
+
+/** A job that is over; kept for good. `done` is the number of completed tasks. */
 export type EndedRecord = z.infer<typeof endedSchema>;
 
-const doneSchema = z.object({ bits: z.string() });
+/** Decodes a job that is over; null where the value cannot be read. */
+export function readEnded(value: unknown): EndedRecord | null {
+  return endedSchema.safeParse(value).data ?? null;
+}
+
+const completedTasksPageSchema = z.object({ jobs: z.record(z.string(), z.string()) });
+
+/** Decodes a page of completed tasks: an encoded bitmap by job; null where the value cannot be read. */
+export function readCompletedTasksPage(value: unknown): Record<string, string> | null {
+  return completedTasksPageSchema.safeParse(value).data?.jobs ?? null;
+}
 
-const progressSchema = z.object({ jobs: z.record(z.string(), z.string()) });
+const completedTasksChunkSchema = z.object({ bits: z.string() });
 
-export const readJob = (value: unknown): JobRecord | null => jobRecordSchema.safeParse(value).data ?? null;
-export const readQuotaReservation = (value: unknown): QuotaReservation | null =>
-  quotaReservationSchema.safeParse(value).data ?? null;
-export const readEnded = (value: unknown): EndedRecord | null => endedSchema.safeParse(value).data ?? null;
-export const readCompletedTasksPage = (value: unknown): Record<string, string> | null =>
-  progressSchema.safeParse(value).data?.jobs ?? null;
-export const readCompletedTasksChunk = (value: unknown): string | null =>
-  doneSchema.safeParse(value).data?.bits ?? null;
+/** Decodes one chunk of the completed tasks of one large job: an encoded bitmap; null where it cannot be read. */
+export function readCompletedTasksChunk(value: unknown): string | null {
+  return completedTasksChunkSchema.safeParse(value).data?.bits ?? null;
+}
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -1,59 +1,85 @@
 /**
- * What users may ask: submit, look, cancel. Any node answers: the records decide, and nothing is said to a user
- * before the record says it.
+ * Users' requests about jobs: submit, look up, cancel. Any controller answers them: the records decide, and no user is
+ * told anything before the records say it.
  */
 import { LRUCache } from "lru-cache";
 import type { Settings } from "../config/settings.js";
-import { StateStoreError, type StateStoreClient } from "../state/state-store-client.js";
-import type { ReadBarrier } from "../state/read-barrier.js";
+import type { Logger } from "../runtime/log.js";
 import { keys, prefixes } from "../state/keys.js";
+import type { ReadBarrier } from "../state/read-barrier.js";
 import type { ReplicaView } from "../state/replica.js";
-import type { Logger } from "../runtime/log.js";
-import type { RecordChange, JobSpec, JobStage, JobStatus, MachineType } from "../wire/index.js";
-import { checkAdmission } from "./admission.js";
-import type { ShardAssignment } from "./shard-assignment.js";
+import { StateStoreError, type StateStoreClient } from "../state/state-store-client.js";
+import type {
+  JobSpec,
+  JobStage,
+  JobStatus,
+  MachineType,
+  RecordChange,
+  RecordEntry,
+  Write,
+} from "../wire/index.js";
+import { checkAdmission, type Rejection } from "./admission.js";
+import { encodeJob, readEnded, readJob, type EndedRecord, type JobRecord } from "./job-records.js";
 import { countDurablyDone } from "./progress-pages.js";
-import { readEnded, readJob, type EndedRecord, type JobRecord } from "./job-records.js";
+import type { ShardAssignment } from "./shard-assignment.js";
+
+/** The state service did not answer in time, or holds a record that this version cannot read. */
+interface Unavailable {
+  kind: "unavailable";
+}
+
+/** The job is recorded. */
+interface Accepted {
+  kind: "accepted";
+  /** The job's stage: that of a new job, or that of a job accepted earlier. */
+  stage: JobStage;
+  /** False where the job was accepted earlier under the same id. */
+  fresh: boolean;
+}
 
 /** How a submission ended. */
-export type SubmitResult =
-  | { kind: "accepted"; stage: JobStage; fresh: boolean }
-  | { kind: "malformed" | "impossible"; reason: string }
-  | { kind: "unavailable" };
+export type SubmitResult = Accepted | Rejection | Unavailable;
 
-/** How a question after a job, or its cancellation, ended. */
-export type JobLookup = { kind: "found"; status: JobStatus } | { kind: "unknown" } | { kind: "unavailable" };
+/** How a question about a job, or its cancellation, ended; `unknown`: no such job was ever accepted. */
+export type JobLookup = { kind: "found"; status: JobStatus } | { kind: "unknown" } | Unavailable;
 
-/** Counts for display, from the shard's owner; null where it does not answer. */
-export type TaskCountsLookup = (
-  shard: number,
-  job: string,
-) => Promise<{ done: number; running: number } | null>;
+/** How many tasks of a job are done and running, for display. */
+export interface TaskProgress {
+  done: number;
+  running: number;
+}
+
+/** What the job service needs of the rest of the process. */
+export interface JobServiceDependencies {
+  readonly settings: Settings;
+  readonly state: StateStoreClient;
+  readonly replica: ReplicaView;
+  readonly readBarrier: ReadBarrier;
+  /** The machine types in the records, by name; empty until they are known. */
+  readonly machineTypes: () => Map<string, MachineType>;
+  readonly shardAssignment: ShardAssignment;
+  /** Asks the shard's owner how far a job is; null where it does not answer. */
+  readonly taskCounts: (shard: number, job: string) => Promise<TaskProgress | null>;
+  /** Notifies the owner of a job's shard that the job is cancelled. */
+  readonly notifyOwnerOfCancellation: (shard: number, job: string) => void;
+  /** How long a submission or cancellation may wait until it is sent to the state service, in milliseconds. */
+  readonly queueTimeoutMs: number;
+  readonly log: Logger;
+}
 
 const REMEMBERED_ENDED_JOBS = 10_000;
 const MAX_CANCEL_ATTEMPTS = 4;
 
+const UNAVAILABLE: Unavailable = { kind: "unavailable" };
+
 /** Accepts, looks up and cancels jobs, each by the state service and never by memory alone unless final. */
 export class JobService {
   /** Final states never change, so that they may be answered from memory. */
   private readonly ended = new LRUCache<string, EndedRecord>({ max: REMEMBERED_ENDED_JOBS });
 
-  constructor(
-    private readonly settings: Settings,
-    private readonly state: StateStoreClient,
-    private readonly view: ReplicaView,
-    private readonly readBarrier: ReadBarrier,
-    private readonly types: () => Map<string, MachineType>,
-    private readonly shardAssignment: ShardAssignment,
-    private readonly taskCounts: TaskCountsLookup,
-    /** Tells the owner of a job's shard that it is cancelled. */
-    private readonly notifyOwnerOfCancellation: (shard: number, job: string) => void,
-    /** How long a submission may wait for its turn to be written. */
-    private readonly queueTimeoutMs: number,
-    private readonly log: Logger,
-  ) {}
-
-  /** Takes in from the feed which jobs are over, so that few questions about them need a read. */
+  constructor(private readonly dependencies: JobServiceDependencies) {}
+
+  /** Remembers the jobs that changed records show to be over, so that few questions about them need a read. */
   applyChanges(changes: RecordChange[]): void {
     for (const change of changes) {
       if (!change.key.startsWith(prefixes.endedJobs)) continue;
@@ -62,103 +88,126 @@
     }
   }
 
+  /** Records a job if it can ever run. Repeated submissions under one id are accepted once. */
   async submit(spec: JobSpec): Promise<SubmitResult> {
-    const types = [...this.types().values()];
-    return this.guarded(async (): Promise<SubmitResult> => {
-      const admission = types.length === 0 ? null : checkAdmission(spec, this.settings, types);
-      if (admission?.kind !== "ok") {
-        // A job that was accepted once stays accepted, whatever the types or a repeat say by now.
-        const known = await this.lookUp(spec.id);
-        if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, fresh: false };
-        return admission === null || known.kind === "unavailable" ? { kind: "unavailable" } : admission;
-      }
-      const record: JobRecord = { spec, shard: this.shardAssignment.shardFor(spec), acceptedAt: Date.now() };
-      const commit = await this.state.compareAndSwap(
-        [
-          { key: keys.job(spec.id), version: 0 },
-          { key: keys.endedJob(spec.id), version: 0 },
-        ],
-        [{ put: keys.job(spec.id), value: record }],
-        "user",
-        this.queueTimeoutMs,
-      );
-      if (commit.ok) return { kind: "accepted", stage: "pending", fresh: true };
-      const known = await this.lookUp(spec.id);
-      if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, fresh: false };
-      return { kind: "unavailable" };
+    const { settings, machineTypes } = this.dependencies;
+    const types = [...machineTypes().values()];
+    return this.unavailableOnStateError(async (): Promise<SubmitResult> => {
+      const admission = types.length === 0 ? UNAVAILABLE : checkAdmission(spec, settings, types);
+      if (admission.kind !== "ok") return this.acceptedEarlier(spec.id, admission);
+      const committed = await this.commitSubmission(spec);
+      if (committed) return { kind: "accepted", stage: "pending", fresh: true };
+      return this.acceptedEarlier(spec.id, UNAVAILABLE);
     });
   }
 
+  /** Looks up the state of a job, as new as any answer that any controller has given. */
   async lookUp(id: string): Promise<JobLookup> {
-    const final = this.ended.get(id);
-    if (final !== undefined) return { kind: "found", status: endedStatus(id, final) };
-    return this.guarded(async (): Promise<JobLookup> => {
-      // Another node may have told a later state than our copy shows: it catches up first.
-      await this.readBarrier.waitUntilCurrent();
-      const entry = this.view.get(keys.job(id));
-      // A job goes from live to ended in one step, so that looking in this order cannot miss it.
+    const ended = this.ended.get(id);
+    if (ended !== undefined) return foundEnded(id, ended);
+    return this.unavailableOnStateError(async (): Promise<JobLookup> => {
+      // Another controller may have answered with a later state than our replica shows: it becomes current first.
+      await this.dependencies.readBarrier.waitUntilCurrent();
+      const entry = this.dependencies.replica.get(keys.job(id));
+      // A job goes from live to ended in one transaction, so that looking in this order cannot miss it.
       if (entry === undefined) return this.lookUpEnded(id);
       const job = readJob(entry.value);
-      if (job === null) return { kind: "unavailable" };
-      const counts = (await this.taskCounts(job.shard, id)) ?? {
-        done: countDurablyDone(this.view, job.shard, id, job.spec.tasks),
-        running: 0,
-      };
-      const done = Math.min(counts.done, job.spec.tasks);
-      return {
-        kind: "found",
-        status: { id, stage: counts.running > 0 ? "running" : "pending", done, running: counts.running },
-      };
+      return job === null ? UNAVAILABLE : this.lookUpLive(job);
     });
   }
 
+  /** Cancels a job; found with its final state, which may be another than cancelled. */
   async cancel(id: string): Promise<JobLookup> {
-    return this.guarded(async (): Promise<JobLookup> => {
-      for (let i = 0; i < MAX_CANCEL_ATTEMPTS; i++) {
-        const entry = await this.state.read(keys.job(id));
+    return this.unavailableOnStateError(async (): Promise<JobLookup> => {
+      for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt++) {
+        const entry = await this.dependencies.state.read(keys.job(id));
         if (entry === null) return this.lookUpEnded(id);
-        const job = readJob(entry.value);
-        const done = job === null ? 0 : countDurablyDone(this.view, job.shard, id, job.spec.tasks);
-        const ended: EndedRecord = { stage: "cancelled", done };
-        // Whoever changes the job's record first wins: a completion on its way then fails, or this does.
-        const commit = await this.state.compareAndSwap(
-          [{ key: keys.job(id), version: entry.version }],
-          [{ put: keys.endedJob(id), value: ended }, { remove: keys.job(id) }],
-          "user",
-          this.queueTimeoutMs,
-        );
-        if (!commit.ok) continue;
-        this.log.info({ job: id, shard: job?.shard, revision: commit.revision }, "job cancelled");
-        if (job !== null) this.notifyOwnerOfCancellation(job.shard, id);
-        this.ended.set(id, ended);
-        return { kind: "found", status: endedStatus(id, ended) };
+        const ended = await this.tryCancel(id, entry);
+        if (ended !== null) return foundEnded(id, ended);
       }
-      return { kind: "unavailable" };
+      return UNAVAILABLE;
     });
   }
 
+  /** Whether the job was written; if not, a record with its id exists already. */
+  private async commitSubmission(spec: JobSpec): Promise<boolean> {
+    const { state, shardAssignment, queueTimeoutMs } = this.dependencies;
+    const record: JobRecord = {
+      spec,
+      shard: shardAssignment.shardFor(spec),
+      acceptedAt: Date.now(),
+      maxParallelTasks: null,
+      migratedIn: false,
+    };
+    const isNew = [
+      { key: keys.job(spec.id), version: 0 },
+      { key: keys.endedJob(spec.id), version: 0 },
+    ];
+    const writes: Write[] = [{ put: keys.job(spec.id), value: encodeJob(record) }];
+    const result = await state.compareAndSwap(isNew, writes, "user", queueTimeoutMs);
+    return result.ok;
+  }
+
+  /** A job that was accepted once stays accepted, whatever the types or a repeat say by now; any other gets `otherwise`. */
+  private async acceptedEarlier(id: string, otherwise: Rejection | Unavailable): Promise<SubmitResult> {
+    const known = await this.lookUp(id);
+    if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, fresh: false };
+    return known.kind === "unavailable" ? UNAVAILABLE : otherwise;
+  }
+
+  private async lookUpLive({ spec, shard }: JobRecord): Promise<JobLookup> {
+    const { replica, taskCounts } = this.dependencies;
+    const progress = (await taskCounts(shard, spec.id)) ?? {
+      done: countDurablyDone(replica, shard, spec.id, spec.tasks),
+      running: 0,
+    };
+    const stage = progress.running > 0 ? "running" : "pending";
+    const done = Math.min(progress.done, spec.tasks);
+    return { kind: "found", status: { id: spec.id, stage, done, running: progress.running } };
+  }
+
   private async lookUpEnded(id: string): Promise<JobLookup> {
     const known = this.ended.get(id);
-    if (known !== undefined) return { kind: "found", status: endedStatus(id, known) };
-    const entry = await this.state.read(keys.endedJob(id));
+    if (known !== undefined) return foundEnded(id, known);
+    const entry = await this.dependencies.state.read(keys.endedJob(id));
     if (entry === null) return { kind: "unknown" };
     const ended = readEnded(entry.value);
-    if (ended === null) return { kind: "unavailable" };
+    if (ended === null) return UNAVAILABLE;
+    this.ended.set(id, ended);
+    return foundEnded(id, ended);
+  }
+
+  /** Replaces the live record by an ended one; null where another transaction has changed the live record. */
+  private async tryCancel(
+    id: string,
+    entry: Pick<RecordEntry, "value" | "version">,
+  ): Promise<EndedRecord | null> {
+    const { state, replica, queueTimeoutMs, notifyOwnerOfCancellation, log } = this.dependencies;
+    const job = readJob(entry.value);
+    const done = job === null ? 0 : countDurablyDone(replica, job.shard, id, job.spec.tasks);
+    const ended: EndedRecord = { stage: "cancelled", done };
+    // The first transaction to change the job's record wins: a completion in flight then fails, or this does.
+    const isUnchanged = [{ key: keys.job(id), version: entry.version }];
+    const writes: Write[] = [{ put: keys.endedJob(id), value: ended }, { remove: keys.job(id) }];
+    const result = await state.compareAndSwap(isUnchanged, writes, "user", queueTimeoutMs);
+    if (!result.ok) return null;
+    log.info({ job: id, shard: job?.shard, revision: result.revision }, "job cancelled");
+    if (job !== null) notifyOwnerOfCancellation(job.shard, id);
     this.ended.set(id, ended);
-    return { kind: "found", status: endedStatus(id, ended) };
+    return ended;
   }
 
-  private async guarded<R>(work: () => Promise<R>): Promise<R | { kind: "unavailable" }> {
+  private async unavailableOnStateError<Result>(work: () => Promise<Result>): Promise<Result | Unavailable> {
     try {
       return await work();
     } catch (err) {
       if (!(err instanceof StateStoreError)) throw err;
-      this.log.debug({ err: err.message }, "state service does not answer a user's request");
-      return { kind: "unavailable" };
+      this.dependencies.log.debug({ err }, "user request not answered by state service");
+      return UNAVAILABLE;
     }
   }
 }
 
-function endedStatus(id: string, ended: EndedRecord): JobStatus {
-  return { id, stage: ended.stage, done: ended.done, running: 0 };
+function foundEnded(id: string, { stage, done }: EndedRecord): JobLookup {
+  return { kind: "found", status: { id, stage, done, running: 0 } };
 }
--- a/src/shards/job-migrator.ts
+++ b/src/shards/job-migrator.ts
@@ -1,5 +1,5 @@
 /** Passes jobs that have not begun from one shard to another, each in one transaction whose outcome is found out. */
-import type { JobRecord } from "../jobs/job-records.js";
+import { encodeJob, type JobRecord } from "../jobs/job-records.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { jittered, sleep } from "../runtime/sleep.js";
@@ -41,10 +41,14 @@
     const prepared = this.shard.beginMigration(id, this.clock());
     if (prepared === null) return;
     const { job, terms } = prepared;
-    const record: JobRecord = { spec: job.spec, shard: to, acceptedAt: job.acceptedAt };
-    if (terms.reservation !== null) record.mostAtOnce = terms.maxParallelTasks;
-    if (terms.migratedIn) record.guest = true;
-    const writes: Write[] = [{ put: keys.job(id), value: record }];
+    const record: JobRecord = {
+      spec: job.spec,
+      shard: to,
+      acceptedAt: job.acceptedAt,
+      maxParallelTasks: terms.reservation === null ? null : terms.maxParallelTasks,
+      migratedIn: terms.migratedIn,
+    };
+    const writes: Write[] = [{ put: keys.job(id), value: encodeJob(record) }];
     if (terms.reservation !== null)
       writes.push({ put: keys.quotaReservation(this.shard.id, id), value: terms.reservation });
     const guards = [
--- a/src/workers/model.ts
+++ b/src/workers/model.ts
@@ -83,8 +83,8 @@
   }
 
   static fromRecord(record: JobRecord, version: number): Job {
-    const { spec, acceptedAt, mostAtOnce, guest } = record;
-    return new Job(spec, acceptedAt, version, mostAtOnce ?? Infinity, guest ?? false);
+    const { spec, acceptedAt, maxParallelTasks, migratedIn } = record;
+    return new Job(spec, acceptedAt, version, maxParallelTasks ?? Infinity, migratedIn);
   }
 
   get waiting(): number {
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -77,14 +77,16 @@
     const [full] = valuesOf("jobs", "fernpond/live/jobs/req-1");
     const [plain] = valuesOf("jobs", "fernpond/live/jobs/req-2");
     const spec = specOf("req-1", FULL_SUBMISSION);
-    assert.deepEqual(readJob(full), { spec, shard: 1, acceptedAt: NOW });
-    assert.deepEqual(readJob(plain), { spec: specOf("req-2"), shard: 0, acceptedAt: NOW });
+    const notMigrated = { acceptedAt: NOW, maxParallelTasks: null, migratedIn: false };
+    assert.deepEqual(readJob(full), { spec, shard: 1, ...notMigrated });
+    assert.deepEqual(readJob(plain), { spec: specOf("req-2"), shard: 0, ...notMigrated });
   });
 
   test("a job that has passed to another shard is read with its bound, and its former shard's reservation as well", () => {
     const [passed] = valuesOf("transfer", "fernpond/live/jobs/req-1");
     const spec = specOf("req-1", { crew: "capped", bank: "south" });
-    assert.deepEqual(readJob(passed), { spec, shard: 0, acceptedAt: NOW, mostAtOnce: 4, guest: true });
+    const migrated = { acceptedAt: NOW, maxParallelTasks: 4, migratedIn: true };
+    assert.deepEqual(readJob(passed), { spec, shard: 0, ...migrated });
     const [reservation] = valuesOf("transfer", "fernpond/live/quota/1/req-1");
     assert.deepEqual(readQuotaReservation(reservation), { team: "capped", cpus: 4, gpus: 0 });
   });
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -155,22 +155,19 @@
 
 function jobService({ client, view }: RecordingState): JobService {
   const settings = testSettings({ controllers: SHARDS });
-  const freshness = new ReadBarrier(client, { waitForRevision: () => Promise.resolve() }, 1000);
-  const assignment = new ShardAssignment(settings.teams, SHARDS);
-  const countsOf = () => Promise.resolve(null);
-  const tell = () => undefined;
-  return new JobService(
+  const neverWaits = { waitForRevision: () => Promise.resolve() };
+  return new JobService({
     settings,
-    client,
-    view,
-    freshness,
-    () => types,
-    assignment,
-    countsOf,
-    tell,
-    1000,
-    silent,
-  );
+    state: client,
+    replica: view,
+    readBarrier: new ReadBarrier(client, neverWaits, 1000),
+    machineTypes: () => types,
+    shardAssignment: new ShardAssignment(settings.teams, SHARDS),
+    taskCounts: () => Promise.resolve(null),
+    notifyOwnerOfCancellation: () => undefined,
+    queueTimeoutMs: 1000,
+    log: silent,
+  });
 }
 
 /** Two jobs are accepted, one with everything optional set, and one of them is cancelled. */
@@ -361,7 +358,7 @@
     assignment: new ShardAssignment(testSettings().teams, SHARDS),
     state: state.client,
     leader: () => "node-b",
-    askNode: () => Promise.reject(new Error("no answer")),
+    requestController: () => Promise.reject(new Error("no answer")),
     clock: () => 0,
     log: silent,
     spacingMs: 1000,
--- a/test/users.test.ts
+++ b/test/users.test.ts
@@ -23,9 +23,9 @@
   const relay = new RequestForwarder({
     own: { handle: () => answer("self") },
     peers: ["b", "c"],
-    ask: (peer) => answer(peer),
-    behind: () => behind,
-    nobodyCan: () => false,
+    forward: (peer) => answer(peer),
+    isBehind: () => behind,
+    isOutage: () => false,
     pauseMs: 500,
     clock: () => now,
     log: silent,
