--- a/src/cli/link-report.ts
+++ b/src/cli/link-report.ts
@@ -1,4 +1,4 @@
-/** The `links` subcommand: asks every controller that it reaches for its links, and prints them. */
+/** The `links` subcommand: requests the state of their links from all controllers, and formats it. */
 import type { Settings } from "../config/settings.js";
 import {
   hasLostLink,
@@ -9,13 +9,15 @@
 } from "../links/status.js";
 import type { PeerNetwork } from "../peers/network.js";
 
-/** What a controller answered, or null where it did not. */
+/** The state of one controller's links. */
 export interface NodeReport {
+  /** The controller's name. */
   node: string;
+  /** Null where the controller did not answer with a status that can be read. */
   status: LinkStatus | null;
 }
 
-/** Exit codes, for scripts. */
+/** Exit codes, for scripts; a lost link comes before a controller without an answer, and that before a monitor that is off. */
 export const LINK_EXIT_CODES = {
   /** Every controller answered, and none has lost a link. */
   fine: 0,
@@ -27,16 +29,16 @@
   off: 4,
 } as const;
 
-/** Asks the controller that the settings are for, and all that they name. */
+/** Requests reports from the controller that the settings are for, and from all its peers. */
 export async function collectLinkReports(
   settings: Pick<Settings, "node" | "peers">,
   network: Pick<PeerNetwork, "request">,
 ): Promise<NodeReport[]> {
   const nodes = [settings.node, ...settings.peers.map((peer) => peer.node)];
-  return Promise.all(nodes.map((node) => askForLinks(node, network)));
+  return Promise.all(nodes.map((node) => requestReport(node, network)));
 }
 
-async function askForLinks(node: string, network: Pick<PeerNetwork, "request">): Promise<NodeReport> {
+async function requestReport(node: string, network: Pick<PeerNetwork, "request">): Promise<NodeReport> {
   try {
     const reply = await network.request(node, { linkStatus: {} });
     return { node, status: "linkReport" in reply ? parseLinkStatus(reply.linkReport.json) : null };
@@ -45,14 +47,14 @@
   }
 }
 
-/** The exit code that sums up all reports. */
+/** The exit code for all reports together. */
 export function linkExitCode(reports: NodeReport[]): number {
   if (reports.some(({ status }) => status !== null && hasLostLink(status))) return LINK_EXIT_CODES.lost;
   if (reports.some(({ status }) => status === null)) return LINK_EXIT_CODES.unreached;
   return reports.some(({ status }) => status?.mode === "off") ? LINK_EXIT_CODES.off : LINK_EXIT_CODES.fine;
 }
 
-/** A table for people. The library is loaded only here: the daemon goes without. */
+/** Formats all reports as a table for people. The library is loaded only here, so that the daemon runs without it. */
 export async function linkTable(reports: NodeReport[]): Promise<string> {
   const { default: Table } = await import("cli-table3");
   const table = new Table({
@@ -65,9 +67,9 @@
     for (const { link, direction, state, since, evidence } of rows)
       table.push([node, link, direction, state, since, evidence]);
   }
-  return [table.toString(), ...reports.flatMap(notesOn)].join("\n");
+  return [table.toString(), ...reports.flatMap(restrictionNotes)].join("\n");
 }
 
-function notesOn({ node, status }: NodeReport): string[] {
+function restrictionNotes({ node, status }: NodeReport): string[] {
   return status === null ? [] : restrictionLines(status).map((line) => `${node}: ${line}`);
 }
