--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,17 +1,123 @@
-/** The platform's settings file, checked. Unknown fields are ignored; a wrong one names itself. */
+/** The platform's settings file (TOML), checked. Unknown fields are ignored; the error for a wrong one names it. */
 import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
 import * as z from "zod";
 import { parseWith } from "../wire/index.js";
 
-/** Settings that cannot be used; the message names the field. */
-export class SettingsError extends Error {}
+/** Where a fault in the settings is. */
+export interface SettingsErrorDetails extends ErrorOptions {
+  /** The file that cannot be used, where that is known. */
+  readonly file?: string;
+  /** The wrong field, its path joined by dots, where the fault is in one field. */
+  readonly field?: string | null;
+}
+
+/** Settings that cannot be used. The message is one line, and names the file or the field. */
+export class SettingsError extends Error {
+  override readonly name = "SettingsError";
+  readonly file: string | null;
+  readonly field: string | null;
+
+  constructor(message: string, { file, field, cause }: SettingsErrorDetails = {}) {
+    super(message, { cause });
+    this.file = file ?? null;
+    this.field = field ?? null;
+  }
+}
+
+/** A named group of users with its guarantee and limit. */
+export interface Team {
+  name: string;
+  /** Guaranteed processors. */
+  cpus: number;
+  /** The most processors that its tasks may use at a time; 0: no limit. */
+  cpusMax: number;
+  /** Guaranteed GPUs. */
+  gpus: number;
+  /** The most GPUs that its tasks may use at a time; 0: no limit. */
+  gpusMax: number;
+}
+
+/** A service-level objective for a class of jobs. */
+export interface Objective {
+  kind: string;
+  /** The class of jobs; null for those without one of their own. */
+  className: string | null;
+  /** The objective's time, in seconds; null where it has none. */
+  withinS: number | null;
+}
+
+/** What the platform expects of workers and their owners. */
+export interface WorkerSettings {
+  /** The interval between two heartbeats of a worker, in milliseconds. */
+  reportMs: number;
+  /** How long a worker goes on without a lease renewal, in milliseconds. */
+  leaseMs: number;
+  /** The time within which all tasks of a cancelled job must be gone, in milliseconds. */
+  cancelMs: number;
+}
+
+/** Limits of the state service. */
+export interface StateStoreSettings {
+  /** Requests per second, of all controllers together. */
+  rps: number;
+  /** Writes per second, of all controllers together. */
+  writeRps: number;
+  /** The largest value, in bytes. */
+  valueBytes: number;
+  /** The most conditions and writes in one transaction. */
+  txnOps: number;
+}
+
+/** Limits of the cloud's interface. */
+export interface CloudSettings {
+  /** Requests per second. */
+  rps: number;
+  /** How old the cloud's list of machines may be, in milliseconds. */
+  listLagMs: number;
+}
+
+/** Another controller. */
+export interface PeerAddress {
+  node: string;
+  /** Where it listens to other controllers, host:port. */
+  address: string;
+}
+
+/** The platform's settings for one controller. */
+export interface Settings {
+  /** This controller's name. */
+  node: string;
+  /** The zone of this controller. */
+  zone: string;
+  /** Where this controller listens to users, workers and health checks, host:port. */
+  listen: string;
+  /** Where this controller listens to other controllers, host:port. */
+  peerListen: string;
+  /** All other controllers. */
+  peers: PeerAddress[];
+  /** The state service, host:port. */
+  stateAddress: string;
+  /** The cloud's interface, host:port. */
+  cloudAddress: string;
+  /** How many controllers the cluster has; there are as many shards. */
+  controllers: number;
+  /** All zones of the cluster. */
+  zones: string[];
+  teams: Team[];
+  objectives: Objective[];
+  workers: WorkerSettings;
+  state: StateStoreSettings;
+  cloud: CloudSettings;
+  /** How many sockets this process may have open. */
+  sockets: number;
+}
 
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, "expected host:port");
 const positive = z.number().positive();
 const amount = z.number().nonnegative();
 
-const schema = z
+const fileSchema = z
   .object({
     node_name: z.string().min(1),
     domain: z.string().min(1),
@@ -34,7 +140,7 @@
           }),
         )
         .min(1),
-      // Only the aims that say how soon a class of jobs should start or finish are of use here.
+      // Only the objectives for how soon a class of jobs should start or finish are of use here.
       objectives: z
         .array(z.object({ kind: z.string(), class: z.string().nullish(), within_s: positive.nullish() }))
         .default([]),
@@ -49,27 +155,27 @@
       resources: z.object({ sockets: z.int().positive().default(1024) }).default({ sockets: 1024 }),
     }),
   })
-  .transform((file) => ({
+  .transform((file): Settings => ({
     node: file.node_name,
     zone: file.domain,
     listen: file.serve_on,
     peerListen: file.back,
-    peers: file.seeds.map((s) => ({ node: s.node_name, address: s.address })),
+    peers: file.seeds.map((seed) => ({ node: seed.node_name, address: seed.address })),
     stateAddress: file.services.state,
     cloudAddress: file.services.cloud,
     controllers: file.settings.initial_size,
     zones: file.settings.zones,
-    teams: file.settings.teams.map((t) => ({
-      name: t.name,
-      cpus: t.cpus,
-      cpusMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
+    teams: file.settings.teams.map((team) => ({
+      name: team.name,
+      cpus: team.cpus,
+      cpusMax: team.cpus_max,
+      gpus: team.gpus,
+      gpusMax: team.gpus_max,
     })),
-    objectives: file.settings.objectives.map((o) => ({
-      kind: o.kind,
-      className: o.class ?? null,
-      withinS: o.within_s ?? null,
+    objectives: file.settings.objectives.map((objective) => ({
+      kind: objective.kind,
+      className: objective.class ?? null,
+      withinS: objective.within_s ?? null,
     })),
     workers: {
       reportMs: file.settings.workers.report_s * 1000,
@@ -86,31 +192,38 @@
     sockets: file.settings.resources.sockets,
   }));
 
-/** The platform's settings file, checked and in this program's terms; durations in milliseconds where named so. */
-export type Settings = z.infer<typeof schema>;
-/** One aim of a class of jobs. */
-export type Objective = Settings["objectives"][number];
-/** A team with its guarantee and limit; a limit of 0 is none. */
-export type Team = Settings["teams"][number];
-
-/** Reads and checks a settings file; throws SettingsError. */
+/**
+ * Checks the text of a settings file.
+ * @throws SettingsError where it is no TOML or a field is wrong.
+ */
 export function parseSettings(text: string): Settings {
-  let raw: unknown;
+  const result = parseWith(fileSchema, parseToml(text));
+  if (!result.ok) throw new SettingsError(result.error, { field: result.field });
+  return result.value;
+}
+
+function parseToml(text: string): unknown {
   try {
-    raw = parse(text);
+    return parse(text);
   } catch (err) {
-    throw new SettingsError(`not TOML: ${(err as Error).message.split("\n")[0]}`);
+    throw new SettingsError(`not TOML: ${firstLine(err as Error)}`, { cause: err });
   }
-  const result = parseWith(schema, raw);
-  if (!result.ok) throw new SettingsError(result.error);
-  return result.value;
 }
 
-/** The text of a file; throws SettingsError if it cannot be read. */
+/** The first line of an error's message. */
+export function firstLine({ message }: Error): string {
+  return message.split("\n")[0] ?? "";
+}
+
+/**
+ * Reads a file as text.
+ * @throws SettingsError where the file cannot be read.
+ */
 export function readText(file: string): string {
   try {
     return readFileSync(file, "utf8");
   } catch (err) {
-    throw new SettingsError(`cannot read ${file}: ${(err as NodeJS.ErrnoException).code ?? String(err)}`);
+    const reason = (err as NodeJS.ErrnoException).code ?? String(err);
+    throw new SettingsError(`cannot read ${file}: ${reason}`, { file, cause: err });
   }
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,107 +1,121 @@
-/** What the cloud offers, rents and lists. */
+/** The cloud's messages, about machine types, rentals and the machine list: section "Controller nodes -> cloud". */
 import * as z from "zod";
 
 /** A type of machines that the cloud rents. */
 export interface MachineType {
   name: string;
+  /** Processors. */
   cpus: number;
+  /** GPUs. */
   gpus: number;
+  /** Memory in gigabytes. */
   memoryGb: number;
+  /** Space for cached images, in gigabytes. */
   cacheGb: number;
+  /** The rate at which images are fetched, in gigabytes per second. */
   fetchGbPerS: number;
+  /** The price of an ordinary machine per hour. */
   price: number;
+  /** The price of a spot machine per hour. */
   spotPrice: number;
+  /** The usual time from the rental request until the worker's first heartbeat, in seconds. */
   bootS: number;
+  /** The zones in which the type is offered. */
   zones: string[];
 }
 
 /** A machine in the cloud's list. */
 export interface ListedMachine {
   host: string;
+  /** The name of its machine type. */
   type: string;
   zone: string;
   spot: boolean;
   state: "booting" | "running" | "failed";
+  /** The time since the rental request, in seconds. */
   ageS: number;
 }
 
-/** A request for machines, under a name that never comes again. */
+/** A request for machines. */
 export interface RentalRequest {
+  /** The idempotency key: a repeated request rents nothing more. Never used for another request. */
   name: string;
+  /** The name of the machine type. */
   type: string;
   zone: string;
   spot: boolean;
+  /** At most MAX_RENTAL. */
   count: number;
 }
 
+/** The most machines in one rental request; "POST /rentals". */
 export const MAX_RENTAL = 50;
+/** The most machines in one request to return machines; "POST /rentals/return". */
 export const MAX_RETURN = 100;
+/** The most machines on one page of the machine list; "GET /rentals". */
 export const MAX_LIST = 500;
 
 const amount = z.number().nonnegative();
+const host = z.string().min(1).max(100);
 
-export const catalogueSchema = z
+const machineTypeSchema = z
   .object({
-    breeds: z.array(
-      z
-        .object({
-          label: z.string().min(1),
-          vcpus: amount,
-          cards: amount,
-          memGb: amount,
-          cacheGb: amount,
-          pullGbPerS: amount,
-          hourly: amount,
-          lowPrice: amount,
-          readyS: amount,
-          banks: z.array(z.string()),
-        })
-        .transform((t): MachineType => ({
-          name: t.label,
-          cpus: t.vcpus,
-          gpus: t.cards,
-          memoryGb: t.memGb,
-          cacheGb: t.cacheGb,
-          fetchGbPerS: t.pullGbPerS,
-          price: t.hourly,
-          spotPrice: t.lowPrice,
-          bootS: t.readyS,
-          zones: t.banks,
-        })),
-    ),
+    label: z.string().min(1),
+    vcpus: amount,
+    cards: amount,
+    memGb: amount,
+    cacheGb: amount,
+    pullGbPerS: amount,
+    hourly: amount,
+    lowPrice: amount,
+    readyS: amount,
+    banks: z.array(z.string()),
   })
-  .transform((c) => c.breeds);
+  .transform((breed): MachineType => ({
+    name: breed.label,
+    cpus: breed.vcpus,
+    gpus: breed.cards,
+    memoryGb: breed.memGb,
+    cacheGb: breed.cacheGb,
+    fetchGbPerS: breed.pullGbPerS,
+    price: breed.hourly,
+    spotPrice: breed.lowPrice,
+    bootS: breed.readyS,
+    zones: breed.banks,
+  }));
+
+/** The response to "GET /flavors": all machine types. */
+export const catalogueSchema = z
+  .object({ breeds: z.array(machineTypeSchema) })
+  .transform((catalogue) => catalogue.breeds);
 
-export const rentalSchema = z
-  .object({ hosts: z.array(z.string().min(1).max(100)) })
-  .transform((r) => r.hosts);
+/** The response to "POST /rentals": the hosts that were rented. */
+export const rentalSchema = z.object({ hosts: z.array(host) }).transform((rental) => rental.hosts);
 
-export const machineListSchema = z
+const listedMachineSchema = z
   .object({
-    hosts: z.array(
-      z
-        .object({
-          nameId: z.string().min(1).max(100),
-          breed: z.string(),
-          bank: z.string(),
-          loaners: z.boolean(),
-          stage: z.enum(["booting", "running", "failed"]),
-          heldS: z.number(),
-        })
-        .transform((m): ListedMachine => ({
-          host: m.nameId,
-          type: m.breed,
-          zone: m.bank,
-          spot: m.loaners,
-          state: m.stage,
-          ageS: m.heldS,
-        })),
-    ),
-    truncated: z.boolean().nullish(),
+    nameId: host,
+    breed: z.string(),
+    bank: z.string(),
+    loaners: z.boolean(),
+    stage: z.enum(["booting", "running", "failed"]),
+    heldS: z.number(),
   })
-  .transform((l) => ({ machines: l.hosts, more: l.truncated === true }));
+  .transform((machine): ListedMachine => ({
+    host: machine.nameId,
+    type: machine.breed,
+    zone: machine.bank,
+    spot: machine.loaners,
+    state: machine.stage,
+    ageS: machine.heldS,
+  }));
 
-/** A rental request as the cloud expects it. */
+/** The response to "GET /rentals": one page of the machine list, and whether another follows. */
+export const machineListSchema = z
+  .object({ hosts: z.array(listedMachineSchema), truncated: z.boolean().nullish() })
+  .transform((list) => ({ machines: list.hosts, more: list.truncated === true }));
+
+/** The body of "POST /rentals". */
 export function rentalToWire(request: RentalRequest): object {
   return {
     hire: request.name,
@@ -111,3 +125,8 @@
     count: request.count,
   };
 }
+
+/** The body of "POST /rentals/return". */
+export function cloudReturnToWire(hosts: string[]): object {
+  return { hosts };
+}
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,53 +1,66 @@
-/** What workers report and what they are told. */
+/** Heartbeats of workers and the commands that answer them: section "Workers -> controller nodes" of the protocol. */
 import * as z from "zod";
-import { parseWith, type Parsed } from "./users.js";
+import { parseWith, type Parsed } from "./parsing.js";
 
 /** A task's state as its worker reports it. */
 export type TaskState = "fetching" | "running" | "saving" | "exited";
-/** Why a task ended. */
+
+/**
+ * Why a task ended. `stopped`: by command; `no_room`: its machine had too little free capacity; `busy`: another attempt of
+ * the task was on the machine; `unknown`: the worker found no such task.
+ */
 export type ExitCause = "done" | "stopped" | "error" | "no_room" | "busy" | "unknown";
 
-/** One task in a report. */
+/** One task in a heartbeat. */
 export interface TaskStatus {
   job: string;
+  /** The task's number within its job. */
   index: number;
   attempt: number;
   state: TaskState;
+  /** Null unless the task has exited. */
   cause: ExitCause | null;
-  /** A stopped task whose progress is safe. */
+  /** Whether a stopped task has saved its progress. */
   saved: boolean;
 }
 
-/** A worker's report: its machine and all tasks on it. */
+/** A worker's message: its machine and all tasks on it; "POST /agent/beat". */
 export interface Heartbeat {
   host: string;
+  /** Where the worker listens, host:port. */
   address: string;
+  /** The name of the machine's type. */
   type: string;
   zone: string;
   spot: boolean;
+  /** Starts at 1 and increases with each expiry of the worker's lease. */
   epoch: number;
+  /** Increases with every message of the worker within an epoch. */
   sequence: number;
-  /** The highest token that this worker has seen. */
+  /** The highest fencing token that the worker has seen. */
   highestToken: number;
-  /** Seconds until the cloud takes the machine away, if it has said so. */
+  /** Seconds until the cloud takes the machine away; null without a notice of that. */
   interruptionNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
-/** What a worker is told to do with one task. */
+/** What a worker is to do with one task attempt; `graceS` is the time in seconds that a task may take to save. */
 export type WorkerCommand =
   | { op: "start"; job: string; index: number; attempt: number }
   | { op: "stop"; job: string; index: number; attempt: number; graceS: number }
   | { op: "forget"; job: string; index: number; attempt: number };
 
-/** How long a worker waits for the answer to a report before it drops it. */
+/** How long a worker waits for the answer to a heartbeat before it drops it, in seconds; table of responses. */
 export const HEARTBEAT_TIMEOUT_S = 4;
-/** How much the steady clocks of two machines may drift apart. */
+/** The most that the steady clocks of two machines drift apart, as a ratio; section "The protocols of fernpond". */
 export const CLOCK_DRIFT = 0.0005;
+/** The most tasks in one heartbeat that are accepted; a limit of ours. */
+const MAX_HEARTBEAT_TASKS = 10_000;
 
 const count = z.int().nonnegative();
 
-const causes: Record<string, ExitCause> = {
+/** Exit causes by the names of the protocol. */
+const exitCauses: Record<string, ExitCause> = {
   done: "done",
   halted: "stopped",
   error: "error",
@@ -64,16 +77,16 @@
     cause: z.string().nullish(),
     kept: z.boolean().nullish(),
   })
-  .transform((t): TaskStatus => {
-    const slash = t.piece.indexOf("/");
+  .transform((task): TaskStatus => {
+    const slash = task.piece.indexOf("/");
     return {
-      job: t.piece.slice(0, slash),
-      index: Number(t.piece.slice(slash + 1)),
-      attempt: t.try,
-      state: t.stage,
-      // A cause that we do not know is a failure of some kind: the task has to run again.
-      cause: t.stage === "exited" ? (causes[t.cause ?? "error"] ?? "error") : null,
-      saved: t.kept === true,
+      job: task.piece.slice(0, slash),
+      index: Number(task.piece.slice(slash + 1)),
+      attempt: task.try,
+      state: task.stage,
+      // An unknown cause is a failure of some kind: the task has to run again.
+      cause: task.stage === "exited" ? (exitCauses[task.cause ?? "error"] ?? "error") : null,
+      saved: task.kept === true,
     };
   });
 
@@ -88,22 +101,22 @@
     tick: count,
     baton: count,
     recallS: z.number().nullish(),
-    pieces: z.array(taskSchema).max(10_000),
+    pieces: z.array(taskSchema).max(MAX_HEARTBEAT_TASKS),
   })
-  .transform((r): Heartbeat => ({
-    host: r.host,
-    address: r.addr,
-    type: r.breed,
-    zone: r.bank,
-    spot: r.loaners,
-    epoch: r.tenure,
-    sequence: r.tick,
-    highestToken: r.baton,
-    interruptionNoticeS: r.recallS ?? null,
-    tasks: r.pieces,
+  .transform((beat): Heartbeat => ({
+    host: beat.host,
+    address: beat.addr,
+    type: beat.breed,
+    zone: beat.bank,
+    spot: beat.loaners,
+    epoch: beat.tenure,
+    sequence: beat.tick,
+    highestToken: beat.baton,
+    interruptionNoticeS: beat.recallS ?? null,
+    tasks: beat.pieces,
   }));
 
-/** Checks a report. */
+/** Checks the body of "POST /agent/beat". */
 export function parseHeartbeat(input: unknown): Parsed<Heartbeat> {
   return parseWith(heartbeatSchema, input);
 }
@@ -121,12 +134,12 @@
   }
 }
 
-/** The answer to a report as workers expect it. */
+/** The response to a heartbeat, with commands in the order of their execution. */
 export function commandsToWire(token: number, commands: readonly WorkerCommand[]): object {
   return { baton: token, orders: commands.map(commandToWire) };
 }
 
-/** The answer of a node that may not act for this worker; names who may, if that is known. */
+/** The response of a controller that does not own the worker's shard; names the owner if it is known. */
 export function redirectToWire(owner: string | null): object {
   return owner === null ? {} : { overseer: owner };
 }
