--- a/src/http/app.ts
+++ b/src/http/app.ts
@@ -1,68 +1,80 @@
-/** The interface for users, workers and health checks. */
+/** The HTTP interface for users, operators, health checks, and the heartbeats that heartbeat-endpoint.ts leaves to it. */
 import Koa, { type Context } from "koa";
 import { BodyTooLargeError, parseJson, readText } from "../runtime/json-client.js";
 import { restrictionLines, statusRows, type LinkStatus } from "../links/status.js";
 import type { DecisionReport } from "../shards/decision-metrics.js";
 import { MAX_BODY_BYTES, paths } from "../wire/index.js";
 import { handleHeartbeat, type HeartbeatDependencies } from "./heartbeats.js";
+import { JSON_CONTENT_TYPE } from "./responses.js";
 import type { UserRequestHandler } from "./user-requests.js";
 
 /** What the HTTP interface needs of the rest of the process. */
 export interface HttpDependencies extends HeartbeatDependencies {
   users: UserRequestHandler;
+  /** Whether the load balancer should send users here. */
   isHealthy(): boolean;
+  /** The state of this controller's links, for operators. */
   linkStatus(): LinkStatus;
+  /** The counts of this controller's decisions on lease renewals and on cancelled tasks, for operators. */
   decisions(): DecisionReport;
 }
 
-/** When a user that cannot be served now should come again. */
+/** The wait before a request that cannot be served now should be retried, in seconds. */
 const RETRY_AFTER_S = "1";
 /** Where operators see the state of this controller's links. */
 const LINKS_PATH = "/links";
-/** Where operators see this controller's decisions on answers to workers and on cancelled tasks. */
+/** Where operators see this controller's decisions on lease renewals and on cancelled tasks. */
 const DECISIONS_PATH = "/decisions";
-const JSON_TYPE = "application/json; charset=utf-8";
 
-/** The koa application for users, workers and health checks. */
-export function createApp(parts: HttpDependencies): Koa {
+/** The koa application for users, operators, workers and health checks. */
+export function createApp(dependencies: HttpDependencies): Koa {
   const app = new Koa();
   app.on("error", (err: Error) => {
-    parts.log.debug({ err: err.message }, "request failed");
+    dependencies.log.debug({ err }, "request failed");
   });
-  app.use(async (ctx) => {
-    if (ctx.path === paths.health)
-      return requireMethod(ctx, "GET", () => {
-        health(ctx, parts);
-      });
-    if (ctx.path === LINKS_PATH)
-      return requireMethod(ctx, "GET", () => {
-        linkStatus(ctx, parts);
-      });
-    if (ctx.path === DECISIONS_PATH)
-      return requireMethod(ctx, "GET", () => {
-        sendJson(ctx, 200, parts.decisions());
-      });
-    if (ctx.path === paths.heartbeat)
-      return requireMethod(ctx, "POST", async () => {
-        const { status, body } = await handleHeartbeat(await readBody(ctx), parts);
-        sendJson(ctx, status, body);
-      });
-    const { method, path } = ctx;
-    const text = method === "POST" ? await readBody(ctx) : undefined;
-    const body = text === undefined ? undefined : parseJson(text);
-    const { status, body: said, allow } = await parts.users.handle({ method, path, body });
-    if (allow !== undefined) ctx.set("Allow", allow);
-    sendJson(ctx, status, said);
+  app.use((ctx) => {
+    switch (ctx.path) {
+      case paths.health:
+        return requireMethod(ctx, "GET", () => {
+          sendHealth(ctx, dependencies);
+        });
+      case LINKS_PATH:
+        return requireMethod(ctx, "GET", () => {
+          sendLinkStatus(ctx, dependencies);
+        });
+      case DECISIONS_PATH:
+        return requireMethod(ctx, "GET", () => {
+          sendJson(ctx, 200, dependencies.decisions());
+        });
+      case paths.heartbeat:
+        return requireMethod(ctx, "POST", () => answerHeartbeat(ctx, dependencies));
+      default:
+        return answerUser(ctx, dependencies.users);
+    }
   });
   return app;
 }
 
-/** Written by itself: finding out what kind of body it has costs koa a good part of a report's answer. */
+async function answerHeartbeat(ctx: Context, dependencies: HeartbeatDependencies): Promise<void> {
+  const { status, body } = await handleHeartbeat(await readBody(ctx), dependencies);
+  sendJson(ctx, status, body);
+}
+
+async function answerUser(ctx: Context, users: UserRequestHandler): Promise<void> {
+  const { method, path } = ctx;
+  const text = method === "POST" ? await readBody(ctx) : undefined;
+  const body = text === undefined ? undefined : parseJson(text);
+  const response = await users.handle({ method, path, body });
+  if (response.allow !== undefined) ctx.set("Allow", response.allow);
+  sendJson(ctx, response.status, response.body);
+}
+
+/** Writes the response itself: koa's detection of the kind of body is a good part of the cost of a heartbeat's response. */
 function sendJson(ctx: Context, status: number, body: object): void {
   ctx.respond = false;
   if (status === 503) ctx.set("Retry-After", RETRY_AFTER_S);
   const text = JSON.stringify(body);
-  ctx.res.writeHead(status, { "Content-Type": JSON_TYPE, "Content-Length": Buffer.byteLength(text) });
+  ctx.res.writeHead(status, { "Content-Type": JSON_CONTENT_TYPE, "Content-Length": Buffer.byteLength(text) });
   ctx.res.end(text);
 }
 
@@ -79,14 +91,14 @@
   await handle();
 }
 
-function health(ctx: Context, parts: HttpDependencies): void {
-  const ok = parts.isHealthy();
+function sendHealth(ctx: Context, dependencies: HttpDependencies): void {
+  const ok = dependencies.isHealthy();
   sendJson(ctx, ok ? 200 : 503, { ok });
 }
 
-/** JSON, or plain text for those who ask for it. */
-function linkStatus(ctx: Context, parts: HttpDependencies): void {
-  const status = parts.linkStatus();
+/** Sends JSON, or plain text where the request prefers it. */
+function sendLinkStatus(ctx: Context, dependencies: HttpDependencies): void {
+  const status = dependencies.linkStatus();
   if (ctx.accepts("application/json", "text/plain") !== "text/plain") {
     sendJson(ctx, 200, status);
     return;
@@ -96,7 +108,7 @@
   ctx.body = `${[`${status.node}: ${status.mode}`, ...rows, ...restrictionLines(status)].join("\n")}\n`;
 }
 
-/** The body's text; undefined where it is too long. */
+/** The body's text; undefined where it is too long, in which case the connection is closed after the response. */
 async function readBody(ctx: Context): Promise<string | undefined> {
   try {
     return await readText(ctx.req, MAX_BODY_BYTES);
--- a/src/http/heartbeat-endpoint.ts
+++ b/src/http/heartbeat-endpoint.ts
@@ -1,61 +1,72 @@
 /**
- * Workers' reports on kept connections. Reports are most of what a controller is asked, and an HTTP server costs several
- * times what is done with one (docs/design.md has the figures). So a connection is read here as long as it carries
- * plain reports; with its first request that is anything else it goes, unread bytes included, to the HTTP server.
+ * Heartbeats on kept connections. Heartbeats are most of the requests to a controller, and an HTTP server costs several
+ * times what is done with one (docs/design.md has the measurements). So a connection is read here as long as it carries
+ * plain heartbeats; with its first request of any other kind it is passed to the HTTP server, unread bytes included.
  */
-import { STATUS_CODES, type Server as HttpServer } from "node:http";
+import type { Server as HttpServer } from "node:http";
 import type { Socket } from "node:net";
 import type { Logger } from "../runtime/log.js";
-import type { HttpResponse } from "./heartbeats.js";
 import { readHeartbeatRequest } from "./heartbeat-request.js";
+import { responseText, type HttpResponse } from "./responses.js";
 
-/** What the endpoint needs of the rest of the process. */
+/** What the endpoint is made from. */
 export interface HeartbeatEndpointOptions {
-  /** Answers the body of a report. */
-  answer: (body: string) => Promise<HttpResponse>;
-  log: Logger;
-  /** A connection on which nothing came for so long is closed. */
-  idleMs: number;
+  /** Answers the body of a heartbeat. */
+  readonly answer: (body: string) => Promise<HttpResponse>;
+  readonly log: Logger;
+  /** A connection on which nothing was received for this long is closed, in milliseconds. */
+  readonly idleMs: number;
 }
 
-/** One connection that has carried nothing but reports so far. */
+/** What a connection does when it leaves the endpoint. */
+interface ConnectionCallbacks {
+  /** Passes the connection to the HTTP server. */
+  passToServer(socket: Socket): void;
+  /** The connection is closed or passed on. */
+  onEnd(connection: HeartbeatConnection): void;
+}
+
+/** One connection that has carried only heartbeats so far. */
 class HeartbeatConnection {
   private pending: Buffer | null = null;
   private answering = false;
-  /** Whether anything came since the last look for idle connections. */
+  /** Whether anything was received since the last check for idle connections. */
   private active = true;
 
   constructor(
     private readonly socket: Socket,
-    private readonly parts: HeartbeatEndpointOptions,
-    private readonly toServer: (socket: Socket) => void,
-    private readonly ended: () => void,
+    private readonly options: HeartbeatEndpointOptions,
+    private readonly callbacks: ConnectionCallbacks,
   ) {
     socket.setNoDelay(true);
     socket.on("data", this.onData);
     socket.on("error", this.onError);
-    socket.on("close", ended);
+    socket.on("close", this.onClose);
   }
 
   close(): void {
     this.socket.destroy();
   }
 
-  /** Closes the connection if nothing has come since this was last called. */
+  /** Closes the connection if nothing was received since this was last called. */
   closeIfIdle(): void {
     if (!this.active) this.close();
     this.active = false;
   }
 
+  private readonly onClose = (): void => {
+    this.callbacks.onEnd(this);
+  };
+
   private readonly onError = (err: Error): void => {
-    this.parts.log.debug({ err: err.message }, "connection of a worker failed");
+    this.options.log.debug({ err }, "worker connection failed");
   };
 
   private readonly onData = (chunk: Buffer): void => {
     this.active = true;
     this.pending = this.pending === null ? chunk : Buffer.concat([this.pending, chunk]);
-    // Requests are never pipelined. Guards against a sender that goes on all the same: what comes while one is answered
-    // waits for the answer, and past one chunk it waits outside this process.
+    // Requests are never pipelined. Guards against a sender that does so all the same: what is received while a request is
+    // answered waits for the response, and all but one chunk waits outside this process.
     if (this.answering) this.socket.pause();
     else this.serve();
   };
@@ -65,13 +76,13 @@
     const request = readHeartbeatRequest(this.pending);
     if (request.kind === "incomplete") return;
     if (request.kind === "other") {
-      this.handOver(this.pending);
+      this.passToServer(this.pending);
       return;
     }
     const rest = this.pending.subarray(request.end);
     this.pending = rest.byteLength === 0 ? null : rest;
     this.answering = true;
-    this.parts.answer(request.body).then(
+    this.options.answer(request.body).then(
       (response) => {
         this.socket.write(responseText(response));
         this.answering = false;
@@ -79,52 +90,48 @@
         this.serve();
       },
       (err: unknown) => {
-        this.parts.log.error({ err }, "report failed");
+        this.options.log.error({ err }, "heartbeat handling failed");
         this.socket.destroy();
       },
     );
   }
 
-  /** From here on the connection is the HTTP server's, with what has been read of it. */
-  private handOver(unread: Buffer): void {
+  /** From here on the connection is the HTTP server's, with the bytes that were read of it. */
+  private passToServer(unread: Buffer): void {
     const { socket } = this;
     socket.off("data", this.onData);
     socket.off("error", this.onError);
-    socket.off("close", this.ended);
-    this.ended();
+    socket.off("close", this.onClose);
+    this.onClose();
     socket.unshift(unread);
-    this.toServer(socket);
+    this.callbacks.passToServer(socket);
   }
 }
 
-function responseText({ status, body }: HttpResponse): string {
-  const text = JSON.stringify(body);
-  return (
-    `HTTP/1.1 ${status} ${STATUS_CODES[status] ?? ""}\r\nContent-Type: application/json; charset=utf-8\r\n` +
-    `Content-Length: ${Buffer.byteLength(text)}\r\n\r\n${text}`
-  );
-}
-
 /**
- * Puts itself before a server's own handling of connections. Connections that have gone quiet are closed; the answer
- * closes all.
+ * Has all new connections of a server read for heartbeats first, and closes those that are idle. The function that is
+ * returned closes all connections that have not been passed to the server.
  */
-export function serveHeartbeats(server: HttpServer, parts: HeartbeatEndpointOptions): () => void {
-  const listeners = server.listeners("connection") as ((socket: Socket) => void)[];
-  const toServer = (socket: Socket): void => {
-    for (const listener of listeners) listener.call(server, socket);
-  };
+export function serveHeartbeats(server: HttpServer, options: HeartbeatEndpointOptions): () => void {
   const connections = new Set<HeartbeatConnection>();
+  const serverListeners = server.listeners("connection") as ((socket: Socket) => void)[];
+  const callbacks: ConnectionCallbacks = {
+    passToServer: (socket) => {
+      for (const listener of serverListeners) listener.call(server, socket);
+    },
+    onEnd: (connection) => {
+      connections.delete(connection);
+    },
+  };
   server.removeAllListeners("connection");
   server.on("connection", (socket) => {
-    const connection = new HeartbeatConnection(socket, parts, toServer, () => connections.delete(connection));
-    connections.add(connection);
+    connections.add(new HeartbeatConnection(socket, options, callbacks));
   });
-  const sweep = setInterval(() => {
+  const idleCheck = setInterval(() => {
     for (const connection of connections) connection.closeIfIdle();
-  }, parts.idleMs);
+  }, options.idleMs);
   return () => {
-    clearInterval(sweep);
+    clearInterval(idleCheck);
     for (const connection of connections) connection.close();
   };
 }
--- a/src/http/heartbeat-request.ts
+++ b/src/http/heartbeat-request.ts
@@ -1,37 +1,43 @@
-/** Recognises plain reports among requests as they come over a connection; leaves everything else to an HTTP server. */
+/** Recognises plain heartbeats among the requests on a connection; everything else is left to an HTTP server. */
 import { MAX_BODY_BYTES, paths } from "../wire/index.js";
 
 /** What a connection's unread bytes begin with. */
 export type HeartbeatRequest =
-  | { kind: "report"; body: string; /** How many bytes it takes. */ end: number }
-  /** It may become a report once more bytes have come. */
+  /** `end` is the number of bytes of the whole request. */
+  | { kind: "heartbeat"; body: string; end: number }
+  /** It may become a heartbeat once more bytes have been received. */
   | { kind: "incomplete" }
-  /** Anything else, an oversize or odd report included. */
+  /** Anything else, an oversize or unusual heartbeat included. */
   | { kind: "other" };
 
+/** The request line. */
 const START = Buffer.from(`POST ${paths.heartbeat} HTTP/1.1\r\n`, "latin1");
 const HEAD_END = Buffer.from("\r\n\r\n", "latin1");
-/** A longer head is no worker's. */
+/** No worker sends a longer head. */
 const MAX_HEAD_BYTES = 4096;
-/** A plain report has its length once, and nothing that changes how its body or connection is to be read. */
-const LENGTH = /\r\ncontent-length:[ \t]*(\d{1,8})[ \t]*\r\n/;
-const ODD = /\r\n(?:transfer-encoding|expect|upgrade|connection:(?![ \t]*keep-alive[ \t]*\r\n)|[ \t])/;
+/** A plain heartbeat has its length once, and no header that changes how its body or connection is to be read. */
+const CONTENT_LENGTH = /\r\ncontent-length:[ \t]*(\d{1,8})[ \t]*\r\n/;
+const UNUSUAL_HEADER =
+  /\r\n(?:transfer-encoding|expect|upgrade|connection:(?![ \t]*keep-alive[ \t]*\r\n)|[ \t])/;
 
 const INCOMPLETE: HeartbeatRequest = { kind: "incomplete" };
 const OTHER: HeartbeatRequest = { kind: "other" };
 
 /** Reads the first request of a connection's unread bytes. */
 export function readHeartbeatRequest(bytes: Buffer): HeartbeatRequest {
-  const known = Math.min(bytes.byteLength, START.byteLength);
-  if (START.compare(bytes, 0, known, 0, known) !== 0) return OTHER;
+  const compared = Math.min(bytes.byteLength, START.byteLength);
+  if (START.compare(bytes, 0, compared, 0, compared) !== 0) return OTHER;
   const headEnd = bytes.indexOf(HEAD_END);
   if (headEnd < 0) return bytes.byteLength > MAX_HEAD_BYTES ? OTHER : INCOMPLETE;
+  // From the line break before the first header to that after the last one.
   const head = bytes.toString("latin1", START.byteLength - 2, headEnd + 2).toLowerCase();
-  const length = LENGTH.exec(head);
-  if (length === null || ODD.test(head) || head.includes("content-length", length.index + 4)) return OTHER;
-  const size = Number(length[1]);
-  if (size > MAX_BODY_BYTES) return OTHER;
-  const end = headEnd + HEAD_END.byteLength + size;
+  const length = CONTENT_LENGTH.exec(head);
+  if (length === null || UNUSUAL_HEADER.test(head)) return OTHER;
+  if (head.includes("content-length", length.index + 4)) return OTHER;
+  const bodyBytes = Number(length[1]);
+  if (bodyBytes > MAX_BODY_BYTES) return OTHER;
+  const bodyStart = headEnd + HEAD_END.byteLength;
+  const end = bodyStart + bodyBytes;
   if (bytes.byteLength < end) return INCOMPLETE;
-  return { kind: "report", body: bytes.toString("utf8", headEnd + HEAD_END.byteLength, end), end };
+  return { kind: "heartbeat", body: bytes.toString("utf8", bodyStart, end), end };
 }
--- a/src/http/heartbeats.ts
+++ b/src/http/heartbeats.ts
@@ -1,36 +1,45 @@
-/** Answers the text of a worker's report, however it came. */
+/**
+ * Answers the text of a heartbeat, however it was received. A heartbeat passes through these steps, each with one job:
+ *
+ * 1. heartbeat-endpoint.ts reads the connection, recognises a heartbeat by heartbeat-request.ts, and writes the response.
+ *    Anything unusual goes to app.ts instead, which has the same body answered.
+ * 2. This module turns the text into a message, and the routing of that message into a status and a body.
+ * 3. controller/heartbeat-router.ts finds the owner of the machine's shard, or another controller.
+ * 4. shards/shard-owner.ts reconciles the heartbeat and decides on the commands.
+ *
+ * Steps 1 and 2 are apart since both ways of receiving need step 2.
+ */
 import { parseJson } from "../runtime/json-client.js";
 import type { Logger } from "../runtime/log.js";
 import { parseHeartbeat, redirectToWire, type Heartbeat } from "../wire/index.js";
+import type { HttpResponse } from "./responses.js";
 
-/** The answer to a worker's report: commands, or where the worker should report to. */
+/** The result of a heartbeat: the body with commands, or the controller to report to, null where it is not known. */
 export type HeartbeatRouting =
   { kind: "commands"; body: object } | { kind: "redirect"; owner: string | null };
 
-/** What answering reports needs of the rest of the process. */
+/** What answering heartbeats needs of the rest of the process. */
 export interface HeartbeatDependencies {
-  /** Finds who may answer a worker, and answers if that is this node. */
-  routeHeartbeat(report: Heartbeat): Promise<HeartbeatRouting>;
+  /** Has the owner of the worker's shard answer if it is in this process, and finds the controller that it is in if not. */
+  routeHeartbeat(heartbeat: Heartbeat): Promise<HeartbeatRouting>;
   log: Logger;
 }
 
-/** A status and a JSON body. */
-export interface HttpResponse {
-  status: number;
-  body: object;
-}
+const OK = 200;
+const BAD_REQUEST = 400;
+const MISDIRECTED_REQUEST = 421;
 
-/** Checks a report and has it answered; `undefined` stands for a body that is none or too long. */
+/** Answers the text of a heartbeat; undefined stands for a body that is missing or too long. */
 export async function handleHeartbeat(
   text: string | undefined,
-  parts: HeartbeatDependencies,
+  dependencies: HeartbeatDependencies,
 ): Promise<HttpResponse> {
   const parsed = parseHeartbeat(text === undefined ? undefined : parseJson(text));
   if (!parsed.ok) {
-    parts.log.info({ error: parsed.error }, "unreadable report");
-    return { status: 400, body: { error: parsed.error } };
+    dependencies.log.info({ error: parsed.error }, "heartbeat rejected as malformed");
+    return { status: BAD_REQUEST, body: { error: parsed.error } };
   }
-  const routed = await parts.routeHeartbeat(parsed.value);
-  if (routed.kind === "commands") return { status: 200, body: routed.body };
-  return { status: 421, body: redirectToWire(routed.owner) };
+  const routing = await dependencies.routeHeartbeat(parsed.value);
+  if (routing.kind === "commands") return { status: OK, body: routing.body };
+  return { status: MISDIRECTED_REQUEST, body: redirectToWire(routing.owner) };
 }
--- a/src/http/request-forwarder.ts
+++ b/src/http/request-forwarder.ts
@@ -1,71 +1,76 @@
 /**
- * Passes on to another controller what this one cannot answer: a node that the state service alone refuses, or that a
- * cut keeps from it, still serves the users whose connections it holds.
+ * Forwards to another controller what this one cannot answer: a node that the state service refuses, or that is cut off
+ * from it, still serves the users whose connections it holds.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import type { UserResponse, UserRequestHandler, UserRequest } from "./user-requests.js";
 
-/** What the relay needs of the rest of the process. */
+/** What the forwarder needs of the rest of the process. */
 export interface RequestForwarderDependencies {
-  own: UserRequestHandler;
-  peers: string[];
-  /** Asks a peer, which answers itself or not at all: a request is passed on once. */
-  forward: (peer: string, request: UserRequest) => Promise<UserResponse>;
-  /** Whether this node is known to be behind, so that asking itself only costs time. */
-  isBehind: () => boolean;
-  /** Whether no controller can answer now, so that asking peers only costs time. */
-  isOutage: () => boolean;
-  /** How long a peer that could not answer is not asked again. */
-  pauseMs: number;
-  clock: SteadyClock;
-  log: Logger;
+  /** Answers requests in this process. */
+  readonly own: UserRequestHandler;
+  /** Names of all other controllers. */
+  readonly peers: string[];
+  /** Sends a request to a peer, which answers itself or not at all: a request is forwarded once. */
+  readonly forward: (peer: string, request: UserRequest) => Promise<UserResponse>;
+  /** Whether this node is known to be behind, so that answering by itself only costs time. */
+  readonly isBehind: () => boolean;
+  /** Whether no controller can answer now, so that forwarding only costs time. */
+  readonly isOutage: () => boolean;
+  /** How long a peer that could not answer gets no further request, in milliseconds. */
+  readonly pauseMs: number;
+  readonly clock: SteadyClock;
+  readonly log: Logger;
 }
 
-/** So many peers are asked about one request. */
-const TRIES = 2;
+/** The most peers that one request is forwarded to. */
+const MAX_PEERS_TRIED = 2;
 
 const UNAVAILABLE: UserResponse = { status: 503, body: { error: "cannot answer now" } };
 
-/** Answers users' requests itself, or passes them to a peer once. */
+/** Answers users' requests in this process, or forwards them to a peer. */
 export class RequestForwarder implements UserRequestHandler {
-  /** Peers that could not answer lately. In an outage nobody can, and requests must not go round. */
+  /** Peers that could not answer lately. In an outage none can, and requests must not circulate. */
   private readonly pausedUntil = new Map<string, number>();
-  private next = 0;
+  /** The position among the peers at which the next choice of candidates starts. */
+  private nextStart = 0;
 
-  constructor(private readonly parts: RequestForwarderDependencies) {}
+  constructor(private readonly dependencies: RequestForwarderDependencies) {}
 
+  /** Answers a request; a response with status 503 is that of this node where no peer has a better one. */
   async handle(request: UserRequest): Promise<UserResponse> {
-    const { own, isBehind } = this.parts;
-    const first = isBehind() ? UNAVAILABLE : await own.handle(request);
-    if (first.status !== 503 || this.parts.isOutage()) return first;
+    const { own, isBehind } = this.dependencies;
+    const ownResponse = isBehind() ? UNAVAILABLE : await own.handle(request);
+    if (ownResponse.status !== 503 || this.dependencies.isOutage()) return ownResponse;
     for (const peer of this.candidates()) {
-      const answer = await this.askPeer(peer, request);
-      if (answer.status !== 503) return answer;
+      const response = await this.forwardTo(peer, request);
+      if (response.status !== 503) return response;
     }
-    return first;
+    return ownResponse;
   }
 
-  private async askPeer(peer: string, request: UserRequest): Promise<UserResponse> {
-    const { forward, clock, pauseMs, log } = this.parts;
+  private async forwardTo(peer: string, request: UserRequest): Promise<UserResponse> {
+    const { forward, clock, pauseMs, log } = this.dependencies;
     try {
-      const answer = await forward(peer, request);
-      if (answer.status === 503) this.pausedUntil.set(peer, clock() + pauseMs);
-      return answer;
+      const response = await forward(peer, request);
+      if (response.status === 503) this.pausedUntil.set(peer, clock() + pauseMs);
+      return response;
     } catch (err) {
-      log.debug({ peer, err: (err as Error).message }, "peer does not take a user's request");
+      log.debug({ peer, err }, "user request not answered by peer");
       this.pausedUntil.set(peer, clock() + pauseMs);
       return UNAVAILABLE;
     }
   }
 
+  /** Peers to forward to: all take turns, and those that could not answer lately are left out. */
   private candidates(): string[] {
-    const { peers, clock } = this.parts;
+    const { peers, clock } = this.dependencies;
     const now = clock();
-    const start = this.next++;
+    const start = this.nextStart++;
     return peers
-      .map((_, i) => peers[(start + i) % peers.length]!)
+      .map((_, offset) => peers[(start + offset) % peers.length]!)
       .filter((peer) => (this.pausedUntil.get(peer) ?? -Infinity) <= now)
-      .slice(0, TRIES);
+      .slice(0, MAX_PEERS_TRIED);
   }
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,4 +1,4 @@
-/** The server for users, workers and health checks. */
+/** The HTTP server for users, operators, workers and health checks. */
 import { createServer } from "node:http";
 import { listenOn } from "../runtime/listen.js";
 import { createApp, type HttpDependencies } from "./app.js";
@@ -8,29 +8,30 @@
 /** A server that listens. */
 export interface ListeningServer {
   port: number;
+  /** Closes the server and all its connections. */
   close(): void;
 }
 
-/** Serves users, workers and health checks at an address; idle connections are kept for `idleMs`. */
+/** Begins to listen at an address, host:port; idle connections are closed after `idleMs` milliseconds. */
 export async function serve(
-  parts: HttpDependencies,
+  dependencies: HttpDependencies,
   address: string,
   idleMs: number,
 ): Promise<ListeningServer> {
-  const handle = createApp(parts).callback();
+  const handle = createApp(dependencies).callback();
   const server = createServer((request, response) => void handle(request, response));
   // Users and workers keep their connections; closing them between two polls costs both sides.
   server.keepAliveTimeout = idleMs;
-  const closeReports = serveHeartbeats(server, {
-    answer: (text) => handleHeartbeat(text, parts),
-    log: parts.log,
+  const closeHeartbeatConnections = serveHeartbeats(server, {
+    answer: (text) => handleHeartbeat(text, dependencies),
+    log: dependencies.log,
     idleMs,
   });
-  const port = await listenOn(server, address, parts.log);
+  const port = await listenOn(server, address, dependencies.log);
   return {
     port,
     close: () => {
-      closeReports();
+      closeHeartbeatConnections();
       server.closeAllConnections();
       server.close();
     },
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -187,7 +187,7 @@
   for (let end = 0; end < whole.byteLength; end++)
     assert.equal(readHeartbeatRequest(whole.subarray(0, end)).kind, "incomplete", `${end} bytes`);
   const two = Buffer.concat([whole, whole]);
-  assert.deepEqual(readHeartbeatRequest(two), { kind: "report", body: BODY, end: whole.byteLength });
+  assert.deepEqual(readHeartbeatRequest(two), { kind: "heartbeat", body: BODY, end: whole.byteLength });
   const endless = Buffer.from(`POST /agent/beat HTTP/1.1\r\nX: ${"x".repeat(10_000)}`);
   assert.equal(readHeartbeatRequest(endless).kind, "other");
   assert.equal(readHeartbeatRequest(Buffer.from(post(BODY, "Expect: 100-continue\r\n"))).kind, "other");
