--- a/src/workers/job.ts
+++ b/src/workers/job.ts
@@ -62,8 +62,8 @@
 
   /** The job of a record, with no task done or placed yet; `version` is that of the record. */
   static fromRecord(record: JobRecord, version: number): Job {
-    const { spec, acceptedAt, mostAtOnce, guest } = record;
-    return new Job(spec, acceptedAt, version, mostAtOnce ?? Infinity, guest ?? false);
+    const { spec, acceptedAt, maxParallelTasks, migratedIn } = record;
+    return new Job(spec, acceptedAt, version, maxParallelTasks ?? Infinity, migratedIn);
   }
 
   /** How many tasks are neither done nor placed. */
