--- a/test/elections.test.ts
+++ b/test/elections.test.ts
@@ -94,7 +94,7 @@
     if (!keepCopy) this.inFlight.splice(index, 1);
     const before = this.cluster;
     if (conditions.some(({ key, version }) => this.versionOf(key) !== version)) return;
-    if (writes.some((write) => "lease" in write && !this.leases.has(write.lease!))) return;
+    if (writes.some((write) => "lease" in write && !this.leases.has(write.lease))) return;
     const version = ++this.revision;
     for (const write of writes) {
       if (!("put" in write)) continue;
