--- a/src/placement/job-queue.ts
+++ b/src/placement/job-queue.ts
@@ -1,15 +1,12 @@
 /** The order in which waiting jobs are served. Pure. */
-import { PRIORITIES } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 import { isStartable } from "./eligibility.js";
 import { jobsToDefer } from "./job-deferral.js";
+import { NORMAL_RANK, priorityRank } from "./priority-rank.js";
 import type { PlacementInput, SchedulingContext } from "./scheduling-context.js";
 import { sloWindowOf } from "./slo-window.js";
 import { isStarving } from "./starvation.js";
 
-/** Normal and lower priorities share one rank, below urgent. */
-const LOWEST_RANK = PRIORITIES.indexOf("normal");
-
 /** A waiting job and what its position in the queue comes from. */
 export interface QueueEntry {
   job: Job;
@@ -47,7 +44,8 @@
   const entries = jobs.map((job) => ({
     job,
     starvingSince: isStarving(job, context) ? job.acceptedAt : Infinity,
-    rank: Math.max(LOWEST_RANK, PRIORITIES.indexOf(job.spec.priority)),
+    // Normal and lower priorities share one rank.
+    rank: Math.max(NORMAL_RANK, priorityRank(job)),
     migratedIn: job.migratedIn ? 1 : 0,
     deferred: deferred.has(job) ? 1 : 0,
     latestStart: windows.get(job)!.latestStart,
--- a/src/placement/placement-score.ts
+++ b/src/placement/placement-score.ts
@@ -1,9 +1,7 @@
 /** Which machine is the best one for a job's tasks. Pure. */
-import { PRIORITIES } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 import type { MachineCapacity } from "./machine-capacity.js";
-
-const URGENT = PRIORITIES.indexOf("urgent");
+import { priorityRank, URGENT_RANK } from "./priority-rank.js";
 
 /** More than all other scores together: a slow machine is filled last. */
 const SLOW_PENALTY = 10;
@@ -19,7 +17,7 @@
  * that has the image: expensive and empty machines are left to run empty and be returned.
  */
 export function scoreMachine(job: Job, { machine, type, cpus }: MachineCapacity): number {
-  const isUrgent = PRIORITIES.indexOf(job.spec.priority) >= URGENT;
+  const isUrgent = priorityRank(job) >= URGENT_RANK;
   const localImageScore = isUrgent ? LOCAL_IMAGE_SCORE_URGENT : LOCAL_IMAGE_SCORE;
   return (
     (machine.slow ? -SLOW_PENALTY : 0) +
--- a/src/placement/preemptable-capacity.ts
+++ b/src/placement/preemptable-capacity.ts
@@ -1,9 +1,9 @@
 /** What will soon be free on machines, and which of their tasks may be preempted. Pure. */
-import { PRIORITIES, type MachineType } from "../wire/index.js";
-import type { Job } from "../workers/job.js";
+import type { MachineType } from "../wire/index.js";
 import type { Machine } from "../workers/machine.js";
 import type { Placement } from "../workers/placement.js";
 import { subtractResources, type Resources } from "../workers/resources.js";
+import { priorityRank } from "./priority-rank.js";
 import { subtractUsage, type QuotaUsage } from "./quota.js";
 import { expectedRemainingMs, expectedRuntimeMs } from "./runtime-estimates.js";
 import type { PlacementInput } from "./scheduling-context.js";
@@ -24,11 +24,6 @@
   victims: Placement[];
 }
 
-/** The rank of a job's priority; the highest is the most urgent. */
-export function priorityRank(job: Job): number {
-  return PRIORITIES.indexOf(job.spec.priority);
-}
-
 /** What will soon be free on all machines on which tasks may start. Subtracts the tasks that end from the usage. */
 export function preemptableCapacities(
   input: PreemptionInput,
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -11,15 +11,15 @@
 import { orderByPriority } from "./job-queue.js";
 import {
   preemptableCapacities,
-  priorityRank,
   type PreemptableCapacity,
   type PreemptionInput,
 } from "./preemptable-capacity.js";
+import { priorityRank, URGENT_RANK } from "./priority-rank.js";
 import { addUsage, quotaSnapshot, subtractUsage, teamOf, type QuotaSnapshot } from "./quota.js";
 import { expectedRemainingMs, provisioningMs } from "./runtime-estimates.js";
 import type { PlacementInput } from "./scheduling-context.js";
 import { latestStartTime, runningTaskSlackMs } from "./slo-window.js";
-import { findVictims, URGENT_RANK, type PreemptionChoice, type VictimSearch } from "./victim-search.js";
+import { findVictims, type PreemptionChoice, type VictimSearch } from "./victim-search.js";
 
 /** Which tasks to stop, and for which jobs. */
 export interface Preemption {
--- a/src/placement/shard-summary.ts
+++ b/src/placement/shard-summary.ts
@@ -111,7 +111,7 @@
     return { host, state: "draining", forMs: 0, emptyReports };
   if (machine.leaseExpiredAt !== null)
     return { host, state: "silent", forMs: elapsedSince(machine.leaseExpiredAt), emptyReports };
-  // Its heartbeats arrive and our responses do not: it can be used no more than one without heartbeats.
+  // Its heartbeats arrive and responses do not reach it: it can be used no more than one without heartbeats.
   if (machine.responsesLost)
     return { host, state: "silent", forMs: elapsedSince(machine.responsesLostSince), emptyReports };
   if (!machine.followsTerm) {
--- a/src/placement/victim-search.ts
+++ b/src/placement/victim-search.ts
@@ -1,17 +1,14 @@
 /** On which machine one more task can start, and which tasks must be preempted for it. Pure. */
 import type { Team } from "../config/settings.js";
-import { PRIORITIES } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 import type { Placement } from "../workers/placement.js";
 import { fits } from "./capacity.js";
 import { addResources, type Resources } from "../workers/resources.js";
 import { allowsZone } from "./eligibility.js";
-import { priorityRank, type PreemptableCapacity } from "./preemptable-capacity.js";
+import type { PreemptableCapacity } from "./preemptable-capacity.js";
+import { priorityRank, URGENT_RANK } from "./priority-rank.js";
 import { isWithinQuota, subtractUsage, type QuotaUsage } from "./quota.js";
 
-/** The priority rank from which on a job may preempt anything lower. */
-export const URGENT_RANK = PRIORITIES.indexOf("urgent");
-
 /** What is the same for all tasks of one job for which capacity is searched. */
 export interface VictimSearch {
   job: Job;
--- /dev/null
+++ b/test/capacity-forecast.test.ts
@@ -0,0 +1,44 @@
+/** Which waiting tasks need machines to be rented, on small cases whose answers a person can check. */
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
+import type { Job } from "../src/workers/job.js";
+import type { Machine } from "../src/workers/machine.js";
+import { newJob, newMachine, NOW, placementInput, startTask } from "./support/shard-state.js";
+
+void describe("placement/capacity-forecast", () => {
+  test("demand is unmet only for tasks for which running ones do not end in time", () => {
+    const machine = newMachine("i-1");
+    const running = newJob("req-1", { tasks: 4, estimateS: 60 });
+    // Two end in 10 s, two in 50 s; a rented machine would be there in 24 s.
+    [50_000, 50_000, 10_000, 10_000].forEach((agoMs, i) => startTask(machine, running, i, NOW - agoMs));
+    const queued = newJob("req-2", { tasks: 5, deadlineS: 65, estimateS: 60 });
+    const input = placementInput([running, queued], [machine]);
+    const unmet = forecastUnmetDemand({ ...input, waiting: new Map([[queued, 5]]) });
+    assert.deepEqual(unmet, [{ job: queued, count: 3, zone: null }]);
+  });
+
+  test("unmet demand of jobs with zone constraints names the zones where their tasks may run", () => {
+    const unmetByZone = (job: Job, machines: Machine[]) => {
+      const waiting = new Map([[job, job.waiting]]);
+      const unmet = forecastUnmetDemand({ ...placementInput([job], machines), waiting });
+      return unmet.map(({ count, zone }) => [count, zone]);
+    };
+    const spread = newJob("req-1", { tasks: 5, spread: true });
+    assert.deepEqual(unmetByZone(spread, []), [
+      [3, "north"],
+      [2, "south"],
+    ]);
+    assert.deepEqual(unmetByZone(newJob("req-3", { spread: true, zone: "south" }), []), [[1, "south"]]);
+    // Free capacity in a zone where half of the job already is counts for nothing.
+    const north = newMachine("i-1");
+    startTask(north, spread, 0);
+    startTask(north, spread, 1);
+    startTask(north, spread, 2);
+    assert.deepEqual(unmetByZone(spread, [north]), [[2, "south"]]);
+    const inOneZone = newJob("req-2", { tasks: 6, oneZone: true });
+    const south = newMachine("i-2", { zone: "south" });
+    startTask(south, inOneZone, 0);
+    assert.deepEqual(unmetByZone(inOneZone, [newMachine("i-3"), south]), [[2, "south"]]);
+  });
+});
--- a/test/large-fleets.test.ts
+++ b/test/large-fleets.test.ts
@@ -29,23 +29,32 @@
   assert.equal(heard.length, MACHINES);
 });
 
-test("late copies of the reports of all machines that left and came back show nothing", () => {
+test("late copies of the heartbeats of all machines that left and came back are ignored", () => {
   const view = new FakeView();
   const types = new Map([[smallType.name, smallType]]);
   const shard = new Shard(0, 3, 0, testSettings(), () => types, view, silent);
-  const of = { shard: 0, type: smallType.name, zone: "north", spot: false, since: 0 };
+  const group = { shard: 0, type: smallType.name, zone: "north", spot: false, since: 0 };
   const machines = Object.fromEntries(hosts.map((host) => [host, "up"]));
-  const come = view.put(keys.machineGroup("all"), { ...of, machines }, 1);
-  shard.sync(view, [come], 0);
-  const report = (host: string): Heartbeat => {
-    const place = { type: smallType.name, zone: "north", spot: false, address: "a:1" };
-    return { host, ...place, epoch: 1, sequence: 5, highestToken: 3, interruptionNoticeS: null, tasks: [] };
+  const added = view.put(keys.machineGroup("all"), { ...group, machines }, 1);
+  shard.sync(view, [added], 0);
+  const heartbeat = (host: string): Heartbeat => {
+    const pool = { type: smallType.name, zone: "north", spot: false };
+    return {
+      host,
+      ...pool,
+      address: "a:1",
+      epoch: 1,
+      sequence: 5,
+      highestToken: 3,
+      interruptionNoticeS: null,
+      tasks: [],
+    };
   };
-  for (const host of hosts) assert.notEqual(shard.reconcileHeartbeat(report(host), 0), null);
+  for (const host of hosts) assert.notEqual(shard.reconcileHeartbeat(heartbeat(host), 0), null);
   shard.sync(view, [view.remove(keys.machineGroup("all"), 2)], 0);
-  shard.sync(view, [view.put(keys.machineGroup("all"), { ...of, machines }, 3)], 0);
-  const believed = hosts.filter((host) => shard.reconcileHeartbeat(report(host), 0) !== null);
-  assert.deepEqual(believed, []);
+  shard.sync(view, [view.put(keys.machineGroup("all"), { ...group, machines }, 3)], 0);
+  const accepted = hosts.filter((host) => shard.reconcileHeartbeat(heartbeat(host), 0) !== null);
+  assert.deepEqual(accepted, []);
 });
 
 test("a summary of all of them goes to the leader in one frame", async () => {
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,36 +1,26 @@
 /** What large queues cost: looks are counted, so that the answers do not depend on the processor. */
 import assert from "node:assert/strict";
-import { mock, test } from "node:test";
+import { describe, mock, test } from "node:test";
 import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
-import type { PlacementInput } from "../src/placement/scheduling-context.js";
 import { choosePreemptions } from "../src/placement/preemption.js";
 import { RenewalGuard } from "../src/shards/renewal-guard.js";
 import { DecisionMetrics } from "../src/shards/decision-metrics.js";
 import { ShardOwner } from "../src/shards/shard-owner.js";
 import type { Shard } from "../src/shards/shard.js";
 import type { StateStoreClient } from "../src/state/state-store-client.js";
-import { attach } from "../src/workers/placement.js";
 import { Job } from "../src/workers/job.js";
-import { Machine } from "../src/workers/machine.js";
+import type { Machine } from "../src/workers/machine.js";
 import { Fleet } from "../src/workers/fleet.js";
 import { parseHeartbeat, type JobSpec } from "../src/wire/index.js";
-import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
-import { testSettings } from "./support/settings.js";
+import { FakeView, jobSpec, silent } from "./support/records.js";
+import { newJob, newMachine, NOW, placementInput, startTask } from "./support/shard-state.js";
 
-const NOW = 1_000_000;
 const MACHINES = 100;
 
-function machines(): Machine[] {
-  return Array.from({ length: MACHINES }, (_, i) => {
-    const of = { groupKey: "g", shard: 0, type: "small", zone: "north", spot: false, since: 0 };
-    const machine = new Machine(`i-${i}`, { ...of, draining: false, hasReported: true }, 0);
-    machine.followsTerm = true;
-    return machine;
-  });
-}
+const newMachines = (): Machine[] => Array.from({ length: MACHINES }, (_, i) => newMachine(`i-${i}`));
 
-/** A job that counts how often somebody asks what its tasks take. */
-function counted(over: Partial<JobSpec>): { job: Job; looks: () => number } {
+/** A job that counts how often the memory that its tasks need is read. */
+function countedJob(over: Partial<JobSpec>): { job: Job; looks: () => number } {
   let looks = 0;
   const spec = jobSpec("req-1", over);
   Object.defineProperty(spec, "memoryGb", {
@@ -42,66 +32,34 @@
   return { job: new Job(spec, NOW, 1), looks: () => looks };
 }
 
-function input(jobs: Job[], hosts: Machine[], objectives: PlacementInput["objectives"]): PlacementInput {
-  return {
-    jobs,
-    machines: hosts,
-    types: new Map([[smallType.name, smallType]]),
-    teams: testSettings().teams,
-    objectives,
-    runtimeRatio: () => 1,
-    now: NOW,
-    wallNow: NOW,
-    recovered: true,
-    termToken: 0,
-    resumeAt: null,
-    reservedQuota: new Map(),
-    starvationReservations: new Map(),
-    preemptionReservations: new Map(),
-  };
-}
-
-test("a forecast looks at a huge array once for all that fits a machine together, not once a task", () => {
-  const tasks = 25_000;
-  const { job, looks } = counted({ tasks, cpus: 0.25, estimateS: 5, priority: "best_effort" });
-  const rest = forecastUnmetDemand({ ...input([job], machines(), []), waiting: new Map([[job, tasks]]) });
-  // Sixteen tasks fit a machine at a time, and each place is taken over and over while the array can wait.
-  assert.ok((rest[0]?.count ?? 0) < tasks / 2, "most of it finds room in time");
-  assert.ok(looks() < tasks, `${looks()} looks`);
+void describe("placement/capacity-forecast", () => {
+  test("a huge array is considered once for all that fits a machine together, not once a task", () => {
+    const tasks = 25_000;
+    const { job, looks } = countedJob({ tasks, cpus: 0.25, estimateS: 5, priority: "best_effort" });
+    const input = placementInput([job], newMachines());
+    const unmet = forecastUnmetDemand({ ...input, waiting: new Map([[job, tasks]]) });
+    // Sixteen tasks fit a machine at a time, and each slot is used over and over while the array can wait.
+    assert.ok((unmet[0]?.count ?? 0) < tasks / 2, "most of it finds capacity in time");
+    assert.ok(looks() < tasks, `${looks()} looks`);
+  });
 });
 
-test("preemption works out once whether a task has time to go on later, however many wait for its room", () => {
-  const hosts = machines();
-  const low = new Job(
-    jobSpec("req-1", { tasks: 4 * MACHINES, priority: "best_effort", checkpointS: 9 }),
-    NOW,
-    1,
-  );
-  hosts.forEach((machine, i) => {
-    for (let k = 0; k < 4; k++)
-      attach({
-        job: low,
-        index: 4 * i + k,
-        attempt: 1,
-        machine,
-        state: "running",
-        stateSince: NOW - 1000,
-        resumed: true,
-        missedHeartbeats: 0,
-        stop: null,
-      });
+void describe("placement/preemption", () => {
+  test("whether a task has time to go on later is computed once, however many jobs wait for its capacity", () => {
+    const machines = newMachines();
+    const low = newJob("req-1", { tasks: 4 * MACHINES, priority: "best_effort", checkpointS: 9 });
+    machines.forEach((machine, i) => {
+      for (let slot = 0; slot < 4; slot++) startTask(machine, low, 4 * i + slot, NOW - 1000);
+    });
+    const waiting = Array.from({ length: 20 }, (_, i) => newJob(`req-9${i}`, { deadlineS: 90 }));
+    const resumed = mock.fn(() => true);
+    for (const { placements } of machines)
+      for (const placement of placements) Object.defineProperty(placement, "resumed", { get: resumed });
+    const { victims } = choosePreemptions({ ...placementInput([low, ...waiting], machines), reportMs: 2500 });
+    assert.deepEqual(victims, []);
+    assert.ok(resumed.mock.callCount() > 0, "they were considered");
+    assert.ok(resumed.mock.callCount() <= 4 * MACHINES, `${resumed.mock.callCount()} times`);
   });
-  const waiting = Array.from(
-    { length: 20 },
-    (_, i) => new Job(jobSpec(`req-9${i}`, { deadlineS: 90 }), NOW, 1),
-  );
-  const of = input([low, ...waiting], hosts, []);
-  const resumed = mock.fn(() => true);
-  for (const { placements } of hosts)
-    for (const placement of placements) Object.defineProperty(placement, "resumed", { get: resumed });
-  assert.deepEqual(choosePreemptions({ ...of, reportMs: 2500 }).victims, []);
-  assert.ok(resumed.mock.callCount() > 0, "they were considered");
-  assert.ok(resumed.mock.callCount() <= 4 * MACHINES, `${resumed.mock.callCount()} times`);
 });
 
 test("reports lead to whole rounds for a part of the time only, and are served by their own machine's room otherwise", () => {
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -3,7 +3,7 @@
  * a task that is known to be over: each violation is brought about, and refused, counted and logged.
  */
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { pino, type Logger } from "pino";
 import { decideShardAuthority, type ShardAuthority } from "../src/membership/shard-authority.js";
 import { RenewalGuard } from "../src/shards/renewal-guard.js";
@@ -27,7 +27,7 @@
   cause: state === "exited" ? "done" : null,
   saved: false,
 });
-const report = (...tasks: TaskStatus[]): Heartbeat => ({
+const heartbeat = (...tasks: TaskStatus[]): Heartbeat => ({
   host: "i-1",
   address: "a:1",
   type: "small",
@@ -76,37 +76,39 @@
   assert.equal(reasonOf({ viewAgeMs: STALE_MS }), "view_too_old");
 });
 
-test("a report is answered only under a right that holds, by the worker's latest owner, on a shard that has followed", () => {
-  const evidence: RenewalEvidence = {
-    authority: held,
-    workerToken: 7,
-    shardViewAgeMs: 100,
-    staleMs: STALE_MS,
-  };
-  assert.deepEqual(decideRenewalPermission(evidence), { allowed: true, token: 7, shardViewAgeMs: 100 });
-  const reasonOf = (over: Partial<typeof evidence>): string => {
-    const right = decideRenewalPermission({ ...evidence, ...over });
-    return right.allowed ? "allowed" : right.reason;
-  };
-  const lapsed: ShardAuthority = { held: false, reason: "lease_over", leaseLeftMs: 0, viewAgeMs: 0 };
-  assert.equal(reasonOf({ authority: lapsed }), "lease_over");
-  assert.equal(reasonOf({ workerToken: 8 }), "newer_token");
-  assert.equal(reasonOf({ shardViewAgeMs: STALE_MS }), "shard_behind_view");
-});
+void describe("workers/lease-renewal", () => {
+  test("a heartbeat is answered only with authority, by the worker's latest owner, on a current view of the records", () => {
+    const evidence: RenewalEvidence = {
+      authority: held,
+      workerToken: 7,
+      shardViewAgeMs: 100,
+      staleMs: STALE_MS,
+    };
+    assert.deepEqual(decideRenewalPermission(evidence), { allowed: true, token: 7, shardViewAgeMs: 100 });
+    const reasonOf = (overrides: Partial<typeof evidence>): string => {
+      const permission = decideRenewalPermission({ ...evidence, ...overrides });
+      return permission.allowed ? "allowed" : permission.reason;
+    };
+    const lapsed: ShardAuthority = { held: false, reason: "lease_over", leaseLeftMs: 0, viewAgeMs: 0 };
+    assert.equal(reasonOf({ authority: lapsed }), "lease_over");
+    assert.equal(reasonOf({ workerToken: 8 }), "newer_token");
+    assert.equal(reasonOf({ shardViewAgeMs: STALE_MS }), "shard_behind_view");
+  });
 
-test("an answer stops at once what is over, and starts nothing of it", () => {
-  const decide = (tasks: TaskStatus[], commands: WorkerCommand[]): string => {
-    const renewal = LeaseRenewal.decide(7, report(...tasks), commands, isLive);
-    return renewal instanceof LeaseRenewal ? "renewed" : `${renewal.reason} ${renewal.task}`;
-  };
-  assert.equal(decide([task("live")], [start("live")]), "renewed");
-  assert.equal(decide([task("over")], [stop("over")]), "renewed");
-  assert.equal(decide([task("over", "exited")], []), "renewed");
-  assert.equal(decide([task("over")], []), "ended_task_kept over/0");
-  assert.equal(decide([task("over", "saving")], []), "ended_task_kept over/0");
-  assert.equal(decide([task("over")], [stop("over", 10)]), "ended_task_kept over/0");
-  assert.equal(decide([task("over")], [stop("live")]), "ended_task_kept over/0");
-  assert.equal(decide([], [start("over")]), "ended_task_started over/0");
+  test("a response stops tasks of ended jobs at once, and starts none of them", () => {
+    const decide = (tasks: TaskStatus[], commands: WorkerCommand[]): string => {
+      const renewal = LeaseRenewal.decide(7, heartbeat(...tasks), commands, isLive);
+      return renewal instanceof LeaseRenewal ? "renewed" : `${renewal.reason} ${renewal.task}`;
+    };
+    assert.equal(decide([task("live")], [start("live")]), "renewed");
+    assert.equal(decide([task("over")], [stop("over")]), "renewed");
+    assert.equal(decide([task("over", "exited")], []), "renewed");
+    assert.equal(decide([task("over")], []), "ended_task_kept over/0");
+    assert.equal(decide([task("over", "saving")], []), "ended_task_kept over/0");
+    assert.equal(decide([task("over")], [stop("over", 10)]), "ended_task_kept over/0");
+    assert.equal(decide([task("over")], [stop("live")]), "ended_task_kept over/0");
+    assert.equal(decide([], [start("over")]), "ended_task_started over/0");
+  });
 });
 
 test("a violation is refused, counted, and logged with its evidence once a spacing", () => {
@@ -116,7 +118,7 @@
   const gate = new RenewalGuard(0, { staleMs: STALE_MS, spacingMs: 1000 }, metrics, () => now, log);
   const answer = (commands: WorkerCommand[]): boolean => {
     const right = gate.permission(held, 7, 100);
-    return right.allowed && gate.decide(right, report(task("over")), commands, isLive) !== null;
+    return right.allowed && gate.decide(right, heartbeat(task("over")), commands, isLive) !== null;
   };
   assert.equal(answer([stop("over")]), true);
   for (now = 0; now < 3000; now += 100) assert.equal(answer([]), false);
@@ -181,12 +183,14 @@
   assert.equal(shard.isLiveJob("req-1"), false, "all has been read anew");
 });
 
-test("stops come before all else in an answer that has no room for every command", () => {
-  const commands: WorkerCommand[] = [];
-  for (let i = 0; i < 400; i++) commands.push(start("live"));
-  commands.push(stop("over"));
-  const sent = limitCommands(commands);
-  assert.ok(sent.length < commands.length);
-  assert.deepEqual(sent[0], stop("over"));
-  assert.deepEqual(limitCommands([start("live"), stop("over")]), [start("live"), stop("over")]);
+void describe("workers/worker-commands", () => {
+  test("stops come before other commands in a response that cannot hold them all", () => {
+    const commands: WorkerCommand[] = [];
+    for (let i = 0; i < 400; i++) commands.push(start("live"));
+    commands.push(stop("over"));
+    const sent = limitCommands(commands);
+    assert.ok(sent.length < commands.length);
+    assert.deepEqual(sent[0], stop("over"));
+    assert.deepEqual(limitCommands([start("live"), stop("over")]), [start("live"), stop("over")]);
+  });
 });
--- /dev/null
+++ b/test/support/shard-state.ts
@@ -0,0 +1,69 @@
+/** Jobs, machines and attempts made by hand, and what scheduling decisions on them are made from. */
+import type { PlacementInput } from "../../src/placement/scheduling-context.js";
+import type { JobSpec } from "../../src/wire/index.js";
+import { Job } from "../../src/workers/job.js";
+import type { MachineRecord } from "../../src/workers/machine-records.js";
+import { Machine } from "../../src/workers/machine.js";
+import { attach, newPlacement, type Placement } from "../../src/workers/placement.js";
+import { jobSpec, smallType } from "./records.js";
+import { testSettings } from "./settings.js";
+
+/** The steady time and the time of day of all decisions, unless a test says otherwise. */
+export const NOW = 1_000_000;
+
+/** A job that was accepted just now, with a record of version 1. */
+export function newJob(id: string, specOverrides: Partial<JobSpec> = {}, acceptedAt = NOW): Job {
+  return new Job(jobSpec(id, specOverrides), acceptedAt, 1);
+}
+
+/** An empty machine of the small type on which tasks may be placed. */
+export function newMachine(
+  host: string,
+  overrides: Partial<Pick<MachineRecord, "spot" | "zone">> = {},
+): Machine {
+  const pool = { type: "small", zone: "north", spot: false, ...overrides };
+  const record = { groupKey: "g", shard: 0, ...pool, since: 0, draining: false, hasReported: true };
+  const machine = new Machine(host, record, 0);
+  machine.followsTerm = true;
+  return machine;
+}
+
+/** A running attempt of a task; it is attached to its job and machine. */
+export function startTask(machine: Machine, job: Job, index: number, runningSince = NOW): Placement {
+  const placement = newPlacement(job, index, index + 1, machine, runningSince);
+  placement.state = "running";
+  attach(placement);
+  return placement;
+}
+
+/** Removes an attempt from its job and machine. */
+export function endTask(placement: Placement): void {
+  placement.machine.detach(placement);
+  placement.job.detach(placement);
+}
+
+/** What decisions about these jobs and machines are made from. */
+export function placementInput(
+  jobs: Job[],
+  machines: Machine[],
+  overrides: Partial<PlacementInput> = {},
+): PlacementInput & { reportMs: number } {
+  return {
+    jobs,
+    machines,
+    types: new Map([[smallType.name, smallType]]),
+    teams: testSettings().teams,
+    objectives: [],
+    runtimeRatio: () => 1,
+    now: NOW,
+    wallNow: NOW,
+    recovered: true,
+    termToken: 0,
+    reservedQuota: new Map(),
+    preemptionReservations: new Map(),
+    resumeAt: null,
+    starvationReservations: new Map(),
+    reportMs: 2000,
+    ...overrides,
+  };
+}
