--- a/src/placement/shard-summary.ts
+++ b/src/placement/shard-summary.ts
@@ -116,7 +116,7 @@
       stateForMs: elapsedSince(machine.leaseExpiredAt),
       emptyHeartbeats,
     };
-  // Its heartbeats arrive and our responses do not: it can be used no more than one without heartbeats.
+  // Its heartbeats arrive and responses do not reach it: it can be used no more than one without heartbeats.
   if (machine.responsesLost)
     return {
       host,
