--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -1,16 +1,15 @@
-/** Reports over kept connections, and everything else that may come over them. */
+/** Heartbeats over kept connections, and all other requests on the same connections. */
 import assert from "node:assert/strict";
 import { once } from "node:events";
 import { createServer, type Server } from "node:http";
 import { connect, type AddressInfo, type Socket } from "node:net";
-import { test, type TestContext } from "node:test";
+import { describe, test, type TestContext } from "node:test";
 import { createApp } from "../src/http/app.js";
 import { serveHeartbeats } from "../src/http/heartbeat-endpoint.js";
 import { readHeartbeatRequest } from "../src/http/heartbeat-request.js";
 import { handleHeartbeat } from "../src/http/heartbeats.js";
 import { MAX_BODY_BYTES } from "../src/wire/index.js";
-import { DecisionMetrics } from "../src/shards/decision-metrics.js";
-import { statusWhileOff } from "../src/links/status.js";
+import { httpDependencies } from "./support/http.js";
 import { silent } from "./support/records.js";
 
 const BODY = JSON.stringify({
@@ -28,34 +27,29 @@
 const post = (body: string, headers = ""): string =>
   `POST /agent/beat HTTP/1.1\r\nHost: node-0\r\n${headers}Content-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`;
 
-interface Door {
+interface TestServer {
   server: Server;
-  /** How many requests the HTTP server has seen. */
-  seenByServer: () => number;
-  connected: () => Promise<Socket>;
+  /** How many requests the HTTP server has received. */
+  httpRequests: () => number;
+  openConnection: () => Promise<Socket>;
 }
 
-/** The door of a controller that answers every report with its host's name. */
-async function door(context: TestContext, answersAfter = Promise.resolve()): Promise<Door> {
-  const parts = {
-    users: { handle: () => Promise.resolve({ status: 404, body: { error: "no such job" } }) },
-    routeHeartbeat: async ({ host }: { host: string }) => {
+/** The HTTP interface of a controller that answers every heartbeat with its host's name. */
+async function startServer(context: TestContext, answersAfter = Promise.resolve()): Promise<TestServer> {
+  const dependencies = httpDependencies({
+    routeHeartbeat: async ({ host }) => {
       await answersAfter;
-      return { kind: "commands" as const, body: { baton: 3, to: host } };
+      return { kind: "commands", body: { baton: 3, to: host } };
     },
-    isHealthy: () => true,
-    linkStatus: () => statusWhileOff("node-0"),
-    decisions: () => new DecisionMetrics().report("node-0"),
-    log: silent,
-  };
-  const handle = createApp(parts).callback();
-  let seen = 0;
+  });
+  const handle = createApp(dependencies).callback();
+  let received = 0;
   const server = createServer((request, response) => {
-    seen++;
+    received++;
     void handle(request, response);
   });
   const close = serveHeartbeats(server, {
-    answer: (text) => handleHeartbeat(text, parts),
+    answer: (text) => handleHeartbeat(text, dependencies),
     log: silent,
     idleMs: 1e6,
   });
@@ -67,28 +61,28 @@
     server.close();
   });
   const { port } = server.address() as AddressInfo;
-  const connected = async (): Promise<Socket> => {
+  const openConnection = async (): Promise<Socket> => {
     const socket = connect(port, "127.0.0.1");
     await once(socket, "connect");
     return socket;
   };
-  return { server, seenByServer: () => seen, connected };
+  return { server, httpRequests: () => received, openConnection };
 }
 
-interface Said {
+interface ReceivedResponse {
   status: number;
   body: unknown;
 }
 
-const ANSWER = /^HTTP\/1\.1 (\d+) [^]*?content-length: (\d+)[^]*?\r\n\r\n/i;
+const RESPONSE_HEAD = /^HTTP\/1\.1 (\d+) [^]*?content-length: (\d+)[^]*?\r\n\r\n/i;
 
-/** The next answer that comes whole: its status and JSON body. */
-function answer(socket: Socket): Promise<Said> {
+/** The next response that is received whole: its status and JSON body. */
+function nextResponse(socket: Socket): Promise<ReceivedResponse> {
   return new Promise((resolve) => {
     let text = "";
     const onData = (chunk: Buffer): void => {
       text += String(chunk);
-      const head = ANSWER.exec(text);
+      const head = RESPONSE_HEAD.exec(text);
       if (head === null || text.length < head[0].length + Number(head[2])) return;
       socket.off("data", onData);
       resolve({ status: Number(head[1]), body: JSON.parse(text.slice(head[0].length)) });
@@ -99,97 +93,104 @@
 
 const ANSWERED = { status: 200, body: { baton: 3, to: "i-1" } };
 
-test("reports on a kept connection are answered without the HTTP server, however their bytes are cut", async (t) => {
-  const { connected, seenByServer } = await door(t);
-  const socket = await connected();
-  socket.write(post(BODY));
-  assert.deepEqual(await answer(socket), ANSWERED);
-  const bytes = post(BODY, "Connection: keep-alive\r\n");
-  for (let at = 0; at < bytes.length; at += 50) {
-    socket.write(bytes.slice(at, at + 50));
-    await new Promise((resolve) => setImmediate(resolve));
-  }
-  assert.deepEqual(await answer(socket), ANSWERED);
-  socket.write(post("no JSON"));
-  assert.equal((await answer(socket)).status, 400);
-  assert.equal(seenByServer(), 0);
-  socket.destroy();
-});
-
-test("what is sent while a report is being answered waits outside the process, and is answered in turn", async (t) => {
-  let release = (): void => undefined;
-  const { server, connected } = await door(
-    t,
-    new Promise((resolve) => {
-      release = resolve;
-    }),
-  );
-  const accepted = once(server, "connection") as Promise<[Socket]>;
-  const socket = await connected();
-  const [serverSide] = await accepted;
-  const report = post(BODY);
-  socket.write(report);
-  while (serverSide.bytesRead < report.length) await new Promise((resolve) => setImmediate(resolve));
-  // Far more than a connection's buffers hold.
-  const more = 100_000;
-  socket.write(report.repeat(more));
-  while (!serverSide.isPaused()) await new Promise((resolve) => setImmediate(resolve));
-  const readWhileHeld = serverSide.bytesRead;
-  assert.ok(readWhileHeld < (report.length * more) / 10, `${readWhileHeld} bytes read`);
-  release();
-  // Whole answers: each ends with the same body, and no chunk's end need be one of theirs.
-  let text = "";
-  for await (const chunk of socket) {
-    text += String(chunk);
-    if (text.split('"to":"i-1"}').length > 100) break;
-  }
-  assert.equal(text.includes("HTTP/1.1 4"), false);
-});
+void describe("http/heartbeat-endpoint: heartbeats", () => {
+  test("heartbeats on a kept connection are answered without the HTTP server, however their bytes are split", async (context) => {
+    const { openConnection, httpRequests } = await startServer(context);
+    const socket = await openConnection();
+    socket.write(post(BODY));
+    assert.deepEqual(await nextResponse(socket), ANSWERED);
+    const bytes = post(BODY, "Connection: keep-alive\r\n");
+    for (let start = 0; start < bytes.length; start += 50) {
+      socket.write(bytes.slice(start, start + 50));
+      await new Promise((resolve) => setImmediate(resolve));
+    }
+    assert.deepEqual(await nextResponse(socket), ANSWERED);
+    socket.write(post("no JSON"));
+    assert.equal((await nextResponse(socket)).status, 400);
+    assert.equal(httpRequests(), 0);
+    socket.destroy();
+  });
 
-test("another request on the same connection goes to the HTTP server, and so does all that follows", async (t) => {
-  const { connected, seenByServer } = await door(t);
-  const socket = await connected();
-  socket.write(post(BODY));
-  assert.deepEqual(await answer(socket), ANSWERED);
-  socket.write("GET /up HTTP/1.1\r\nHost: node-0\r\n\r\n");
-  assert.deepEqual(await answer(socket), { status: 200, body: { ok: true } });
-  socket.write(post(BODY));
-  assert.deepEqual(await answer(socket), ANSWERED);
-  assert.equal(seenByServer(), 2);
-  socket.destroy();
+  test("requests that are sent while a heartbeat is answered wait outside the process, and are answered in turn", async (context) => {
+    let release = (): void => undefined;
+    const { server, openConnection } = await startServer(
+      context,
+      new Promise((resolve) => {
+        release = resolve;
+      }),
+    );
+    const accepted = once(server, "connection") as Promise<[Socket]>;
+    const socket = await openConnection();
+    const [serverSide] = await accepted;
+    const heartbeat = post(BODY);
+    socket.write(heartbeat);
+    while (serverSide.bytesRead < heartbeat.length) await new Promise((resolve) => setImmediate(resolve));
+    // Far more than a connection's buffers hold.
+    const copies = 100_000;
+    socket.write(heartbeat.repeat(copies));
+    while (!serverSide.isPaused()) await new Promise((resolve) => setImmediate(resolve));
+    const readWhileHeld = serverSide.bytesRead;
+    assert.ok(readWhileHeld < (heartbeat.length * copies) / 10, `${readWhileHeld} bytes read`);
+    release();
+    // Whole responses: each ends with the same body, and a chunk need not end with one of them.
+    let text = "";
+    for await (const chunk of socket) {
+      text += String(chunk);
+      if (text.split('"to":"i-1"}').length > 100) break;
+    }
+    assert.equal(text.includes("HTTP/1.1 4"), false);
+  });
 });
 
-test("a report that is odd in any way is the HTTP server's, which answers it in full", async (t) => {
-  const { connected, seenByServer } = await door(t);
-  const chunked = `POST /agent/beat HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n${BODY.length.toString(16)}\r\n${BODY}\r\n0\r\n\r\n`;
-  const wanted: [string, number][] = [
-    [chunked, 200],
-    [post(BODY, "Connection: close\r\n"), 200],
-    [post(" ".repeat(MAX_BODY_BYTES + 1)), 400],
-    [post(BODY, `Content-Length: 3\r\n`), 400],
-    ["GET /agent/beat HTTP/1.1\r\nHost: a\r\n\r\n", 405],
-    ["POST /agent/beater HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}", 404],
-  ];
-  for (const [text, status] of wanted) {
-    const socket = await connected();
-    const seen = once(socket, "data");
-    socket.write(text);
-    const [said] = (await seen) as [Buffer];
-    assert.equal(/^HTTP\/1\.1 (\d+)/.exec(String(said))?.[1], String(status), text.slice(0, 120));
+void describe("http/heartbeat-endpoint: other requests", () => {
+  test("another request on the same connection is passed to the HTTP server, and so are all that follow", async (context) => {
+    const { openConnection, httpRequests } = await startServer(context);
+    const socket = await openConnection();
+    socket.write(post(BODY));
+    assert.deepEqual(await nextResponse(socket), ANSWERED);
+    socket.write("GET /up HTTP/1.1\r\nHost: node-0\r\n\r\n");
+    assert.deepEqual(await nextResponse(socket), { status: 200, body: { ok: true } });
+    socket.write(post(BODY));
+    assert.deepEqual(await nextResponse(socket), ANSWERED);
+    assert.equal(httpRequests(), 2);
     socket.destroy();
-  }
-  // The one with two lengths is refused before it becomes a request.
-  assert.equal(seenByServer(), wanted.length - 1);
+  });
+
+  test("an unusual heartbeat is passed to the HTTP server, which answers it in full", async (context) => {
+    const { openConnection, httpRequests } = await startServer(context);
+    const chunked = `POST /agent/beat HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n${BODY.length.toString(16)}\r\n${BODY}\r\n0\r\n\r\n`;
+    const expected: [request: string, status: number][] = [
+      [chunked, 200],
+      [post(BODY, "Connection: close\r\n"), 200],
+      [post(" ".repeat(MAX_BODY_BYTES + 1)), 400],
+      [post(BODY, `Content-Length: 3\r\n`), 400],
+      ["GET /agent/beat HTTP/1.1\r\nHost: a\r\n\r\n", 405],
+      ["POST /agent/beater HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}", 404],
+    ];
+    for (const [request, status] of expected) {
+      const socket = await openConnection();
+      const received = once(socket, "data");
+      socket.write(request);
+      const [response] = (await received) as [Buffer];
+      const receivedStatus = /^HTTP\/1\.1 (\d+)/.exec(String(response))?.[1];
+      assert.equal(receivedStatus, String(status), request.slice(0, 120));
+      socket.destroy();
+    }
+    // The one with two lengths is refused before it becomes a request.
+    assert.equal(httpRequests(), expected.length - 1);
+  });
 });
 
-test("what may yet become a report is waited for, and nothing without bound", () => {
-  const whole = Buffer.from(post(BODY));
-  for (let end = 0; end < whole.byteLength; end++)
-    assert.equal(readHeartbeatRequest(whole.subarray(0, end)).kind, "incomplete", `${end} bytes`);
-  const two = Buffer.concat([whole, whole]);
-  assert.deepEqual(readHeartbeatRequest(two), { kind: "heartbeat", body: BODY, end: whole.byteLength });
-  const endless = Buffer.from(`POST /agent/beat HTTP/1.1\r\nX: ${"x".repeat(10_000)}`);
-  assert.equal(readHeartbeatRequest(endless).kind, "other");
-  assert.equal(readHeartbeatRequest(Buffer.from(post(BODY, "Expect: 100-continue\r\n"))).kind, "other");
-  assert.equal(readHeartbeatRequest(Buffer.from(post(BODY, "X: a\r\n folded\r\n"))).kind, "other");
+void describe("http/heartbeat-request", () => {
+  test("an incomplete heartbeat is waited for, but never without bound", () => {
+    const whole = Buffer.from(post(BODY));
+    for (let end = 0; end < whole.byteLength; end++)
+      assert.equal(readHeartbeatRequest(whole.subarray(0, end)).kind, "incomplete", `${end} bytes`);
+    const two = Buffer.concat([whole, whole]);
+    assert.deepEqual(readHeartbeatRequest(two), { kind: "heartbeat", body: BODY, end: whole.byteLength });
+    const endless = Buffer.from(`POST /agent/beat HTTP/1.1\r\nX: ${"x".repeat(10_000)}`);
+    assert.equal(readHeartbeatRequest(endless).kind, "other");
+    assert.equal(readHeartbeatRequest(Buffer.from(post(BODY, "Expect: 100-continue\r\n"))).kind, "other");
+    assert.equal(readHeartbeatRequest(Buffer.from(post(BODY, "X: a\r\n folded\r\n"))).kind, "other");
+  });
 });
--- a/test/support/settings.ts
+++ b/test/support/settings.ts
@@ -1,12 +1,16 @@
+/** Settings files for tests. */
 import { parseSettings, type Settings } from "../../src/config/settings.js";
 
+/** What a test sets by itself. */
 export interface SettingsOptions {
   node?: string;
   listen?: string;
+  /** Where the controller listens to other controllers. */
   back?: string;
   peers?: { node: string; address: string }[];
   cloud?: string;
   state?: string;
+  /** The `teams` tables, as TOML. */
   teams?: string;
   controllers?: number;
   reportS?: number;
@@ -14,28 +18,28 @@
   cancelS?: number;
 }
 
-/** A settings file as a platform would hand it over. */
-export function settingsText(o: SettingsOptions = {}): string {
-  const peers = (o.peers ?? []).map(
-    (p) => `[[seeds]]\nnode_name = "${p.node}"\ndomain = "north"\naddress = "${p.address}"\n`,
+/** The text of a settings file as a platform would provide it. */
+export function settingsText(options: SettingsOptions = {}): string {
+  const peers = (options.peers ?? []).map(
+    ({ node, address }) => `[[seeds]]\nnode_name = "${node}"\ndomain = "north"\naddress = "${address}"\n`,
   );
   return `
-node_name = "${o.node ?? "node-0"}"
+node_name = "${options.node ?? "node-0"}"
 domain = "north"
-serve_on = "${o.listen ?? "127.0.0.1:0"}"
-back = "${o.back ?? "127.0.0.1:0"}"
+serve_on = "${options.listen ?? "127.0.0.1:0"}"
+back = "${options.back ?? "127.0.0.1:0"}"
 ${peers.join("\n")}
 [services]
-cloud = "${o.cloud ?? "127.0.0.1:1"}"
-state = "${o.state ?? "127.0.0.1:1"}"
+cloud = "${options.cloud ?? "127.0.0.1:1"}"
+state = "${options.state ?? "127.0.0.1:1"}"
 [settings]
-initial_size = ${o.controllers ?? 1}
+initial_size = ${options.controllers ?? 1}
 zones = ["north", "south"]
-${o.teams ?? `[[settings.teams]]\nname = "free"\n[[settings.teams]]\nname = "capped"\ncpus = 2.0\ncpus_max = 4.0`}
+${options.teams ?? `[[settings.teams]]\nname = "free"\n[[settings.teams]]\nname = "capped"\ncpus = 2.0\ncpus_max = 4.0`}
 [settings.workers]
-report_s = ${o.reportS ?? 2}
-lease_s = ${o.leaseS ?? 10}
-cancel_s = ${o.cancelS ?? 30}
+report_s = ${options.reportS ?? 2}
+lease_s = ${options.leaseS ?? 10}
+cancel_s = ${options.cancelS ?? 30}
 [settings.state]
 rps = 100.0
 write_rps = 50.0
@@ -47,4 +51,5 @@
 `;
 }
 
-export const testSettings = (o: SettingsOptions = {}): Settings => parseSettings(settingsText(o));
+/** The parsed settings. */
+export const testSettings = (options: SettingsOptions = {}): Settings => parseSettings(settingsText(options));
