--- a/src/autoscaling/machine-registration.ts
+++ b/src/autoscaling/machine-registration.ts
@@ -24,7 +24,7 @@
 
 /** Collects machines that are in no record, and records them. */
 export class MachineRegistration {
-  private readonly pools = new Map<string, InstancePool>();
+  private readonly poolsByHost = new Map<string, InstancePool>();
 
   constructor(private readonly dependencies: MachineRegistrationDependencies) {}
 
@@ -38,7 +38,7 @@
 
   /** Adds a machine that the next pass is to record. */
   add(host: string, pool: InstancePool): void {
-    this.pools.set(host, pool);
+    this.poolsByHost.set(host, pool);
   }
 
   /**
@@ -49,7 +49,7 @@
   async register(leaderCondition: Condition): Promise<void> {
     const { settings, state, log } = this.dependencies;
     const groups = this.assignToShards();
-    this.pools.clear();
+    this.poolsByHost.clear();
     const writes = groups.flatMap(({ origin, hosts }) =>
       machineGroupWrites(hosts, origin, settings.state.valueBytes),
     );
@@ -72,7 +72,7 @@
     const { fleet, returnedMachines } = this.dependencies;
     const machineCounts = this.countMachinesByShard();
     const groups = new Map<string, NewGroup>();
-    for (const [host, pool] of this.pools) {
+    for (const [host, pool] of this.poolsByHost) {
       if (fleet.get(host) !== undefined || returnedMachines.has(host)) continue;
       const shard = machineCounts.indexOf(Math.min(...machineCounts));
       machineCounts[shard]!++;
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -114,7 +114,7 @@
   job: string;
 }
 
-/** A job of the shard; its owner learns of the cancellation, or replies how many tasks are done and running. */
+/** A job, and the shard that it belongs to. */
 interface JobReference {
   shard: number;
   job: string;
@@ -156,16 +156,20 @@
 /** A request between controllers; the key names its kind. */
 export type PeerRequest =
   | { summary: ShardSummary }
+  /** Whether the peer still replies. */
   | { ping: Record<string, never> }
   | { drainMachines: DrainMachinesRequest }
   | { transferMachines: TransferMachinesRequest }
   | { cordonMachine: CordonMachineRequest }
   | { migrateJob: MigrateJobRequest }
+  /** The job's cancellation is durable. */
   | { jobCancelled: JobReference }
   | { handOver: HandOverRequest }
   | { misroutedHeartbeat: MisroutedHeartbeatNotice }
+  /** How many tasks of the job are done and running. */
   | { taskCounts: JobReference }
   | { forwardUserRequest: ForwardedUserRequest }
+  /** The state of the peer's links, for an operator. */
   | { linkStatus: Record<string, never> };
 
 /** The reply to a request between controllers; the key names its kind. */
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -43,5 +43,6 @@
   viewExchange: LinkViewExchange | null;
   /** Replies to the others' requests from now on; resolves to the port. */
   listen(address: string, handler: PeerHandler): Promise<number>;
+  /** Closes all connections, and stops listening. */
   close(): void;
 }
