--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -96,7 +96,16 @@
   private startOwner(n: number, token: number): OwnedShard {
     const { settings, timings, state, replica, fleet, membership, links, types, metrics, clock, log } =
       this.parts;
-    const shard = new Shard(n, token, clock(), settings, types, replica, log, metrics);
+    const shard = new Shard({
+      shard: n,
+      termToken: token,
+      termStartedAt: clock(),
+      settings,
+      types,
+      view: replica,
+      log,
+      metrics,
+    });
     const hooks = {
       // The token counts only for the owner whose term it belongs to.
       authority: (): ShardAuthority => {
@@ -112,7 +121,17 @@
       mayRemoveMachines: () => links.allows("return"),
     };
     const gate = new RenewalGuard(n, timings, metrics, clock, log);
-    const owner = new ShardOwner(shard, timings, state, replica, fleet, clock, hooks, gate, log);
+    const owner = new ShardOwner({
+      shard,
+      timings,
+      state,
+      view: replica,
+      fleet,
+      clock,
+      callbacks: hooks,
+      renewalGuard: gate,
+      log,
+    });
     const owned: OwnedShard = { owner, token };
     return owned;
   }
--- /dev/null
+++ b/src/shards/attempt-numbers.ts
@@ -0,0 +1,25 @@
+/** Numbers of task attempts, unique over all owners of a shard. */
+
+/** An attempt number is a fencing token and a count within its time, so that no number is given twice. */
+const ATTEMPTS_PER_TOKEN = 2 ** 20;
+
+/** Gives out the attempt numbers of one owner. */
+export class AttemptNumbers {
+  private count = 0;
+
+  /** A number that was never given before; `token` is the owner's current fencing token. */
+  next(token: number): number {
+    this.count++;
+    return token * ATTEMPTS_PER_TOKEN + this.count;
+  }
+
+  /** Whether the numbers of the current token are nearly used up, so that the token should be advanced. */
+  get nearlyExhausted(): boolean {
+    return this.count >= ATTEMPTS_PER_TOKEN / 2;
+  }
+
+  /** The owner has a new token. */
+  reset(): void {
+    this.count = 0;
+  }
+}
--- a/src/shards/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -14,15 +14,27 @@
   onDurable(): void;
   /** To be called if the job's record turned out to be gone: it was cancelled first. */
   onJobGone(): void;
-  /** The job whose record the guards name; empty where they name none. */
+  /** The job whose record the conditions name; empty where they name none. */
   job: string;
 }
 
-/** Collects completed tasks and turns them into writes, ended jobs apart from progress. */
+/** Completed tasks of one job that are written with its page. */
+interface PageEntry {
+  job: Job;
+  /** All tasks of the job that are not durable yet; may grow while the page is being written. */
+  indexes: Set<number>;
+  written: number[];
+}
+
+const chunkOf = (index: number): number => Math.floor(index / CHUNK_TASKS);
+
+const isFinished = (job: Job): boolean => job.done.count === job.spec.tasks;
+
+/** Collects completed tasks and turns them into writes: the ends of jobs, and the progress of those that go on. */
 export class CompletionLog {
   /** Completed tasks, by job, that are not durable yet. */
   private readonly unwritten = new Map<Job, Set<number>>();
-  /** Records of completed tasks of jobs that are over: to be removed when there is room. */
+  /** Keys of records that are not needed any more: removed when a transaction has writes to spare. */
   private readonly staleKeys = new Set<string>();
   private readonly progress: ProgressPages;
 
@@ -43,7 +55,7 @@
     else this.unwritten.set(job, new Set([index]));
   }
 
-  /** The job's record is gone: nothing more is written of it, and what was is removed when there is room. */
+  /** The job's record is gone: nothing more is written of it, and what was written is removed later. */
   forget(job: Job): void {
     const { id, tasks } = job.spec;
     this.unwritten.delete(job);
@@ -53,80 +65,90 @@
       this.staleKeys.add(keys.completedTasksChunk(id, chunk));
   }
 
-  /** A record of completed tasks whose job is over is to be removed when there is room. */
+  /** A record that is not needed any more is removed when a transaction has writes to spare. */
   removeLater(key: string): void {
     this.staleKeys.add(key);
   }
 
-  /** Takes in what an earlier owner has written of a job. */
+  /** Applies what an earlier owner has written of a job: base64 bits of its completed tasks, on a page. */
   load(page: number, id: string, bits: string): void {
     this.progress.load(page, { [id]: bits });
   }
 
-  /** Jobs whose last task has completed and that may be told done, to be written within so many operations. */
-  finished(room: number, mayEnd: (job: Job) => boolean): Completion[] {
-    const out: Completion[] = [];
+  /** Jobs whose last task has completed and that may be written as done, with at most so many writes. */
+  finishedJobs(maxWrites: number, mayComplete: (job: Job) => boolean): Completion[] {
+    const completions: Completion[] = [];
+    let remainingWrites = maxWrites;
     for (const job of this.unwritten.keys()) {
-      if (job.done.count !== job.spec.tasks || !mayEnd(job)) continue;
+      if (!isFinished(job) || !mayComplete(job)) continue;
       const completion = this.completeJob(job);
-      if (completion.writes.length > room) break;
-      room -= completion.writes.length;
-      out.push(completion);
+      if (completion.writes.length > remainingWrites) break;
+      remainingWrites -= completion.writes.length;
+      completions.push(completion);
     }
-    return out;
+    return completions;
   }
 
-  /** Completed tasks of jobs that go on, to be written within so many operations. */
-  progressed(room: number): Completion[] {
-    const out: Completion[] = [];
-    const pages = new Map<number, { job: Job; indexes: Set<number>; written: number[] }[]>();
+  /** Completed tasks of jobs that go on, with at most so many writes; stale records are removed with the rest of them. */
+  taskProgress(maxWrites: number): Completion[] {
+    const completions: Completion[] = [];
+    const pages = new Map<number, PageEntry[]>();
+    let remainingWrites = maxWrites;
     for (const [job, indexes] of this.unwritten) {
-      if (job.done.count === job.spec.tasks) continue;
-      if (!this.progress.sharesPages(job.spec.tasks)) {
-        if (room < 1) continue;
-        const completion = this.completeChunks(job, indexes, room);
-        room -= completion.writes.length;
-        out.push(completion);
+      if (isFinished(job)) continue;
+      if (this.progress.sharesPages(job.spec.tasks)) {
+        this.addToPage(pages, job, indexes);
         continue;
       }
-      const page = this.progress.set(job.spec.id, job.done.encodeChunk(0));
-      const part = { job, indexes, written: [...indexes] };
-      const parts = pages.get(page);
-      if (parts) parts.push(part);
-      else pages.set(page, [part]);
-    }
-    for (const [page, parts] of pages) {
-      if (room-- < 1) break;
-      out.push({
-        job: "",
-        conditions: [],
-        writes: [{ put: keys.completedTasksPage(this.shard, page), value: this.progress.value(page) }],
-        onDurable: () => {
-          parts.forEach(({ job, indexes, written }) => {
-            this.nowDurable(job, indexes, written);
-          });
-        },
-        onJobGone: () => undefined,
-      });
+      if (remainingWrites < 1) continue;
+      const completion = this.completeChunks(job, indexes, remainingWrites);
+      remainingWrites -= completion.writes.length;
+      completions.push(completion);
     }
-    const stale = [...this.staleKeys].slice(0, Math.max(0, room));
-    if (stale.length > 0)
-      out.push({
-        job: "",
-        conditions: [],
-        writes: stale.map((key) => ({ remove: key })),
-        onDurable: () => {
-          stale.forEach((key) => this.staleKeys.delete(key));
-        },
-        onJobGone: () => undefined,
-      });
-    return out;
+    const writtenPages = [...pages].slice(0, remainingWrites);
+    for (const [page, entries] of writtenPages) completions.push(this.completePage(page, entries));
+    remainingWrites -= writtenPages.length;
+    const stale = [...this.staleKeys].slice(0, remainingWrites);
+    if (stale.length > 0) completions.push(this.removeStale(stale));
+    return completions;
+  }
+
+  private addToPage(pages: Map<number, PageEntry[]>, job: Job, indexes: Set<number>): void {
+    const page = this.progress.set(job.spec.id, job.done.encodeChunk(0));
+    const entry = { job, indexes, written: [...indexes] };
+    const entries = pages.get(page);
+    if (entries) entries.push(entry);
+    else pages.set(page, [entry]);
+  }
+
+  private completePage(page: number, entries: PageEntry[]): Completion {
+    return {
+      job: "",
+      conditions: [],
+      writes: [{ put: keys.completedTasksPage(this.shard, page), value: this.progress.value(page) }],
+      onDurable: () => {
+        for (const { job, indexes, written } of entries) this.markDurable(job, indexes, written);
+      },
+      onJobGone: () => undefined,
+    };
+  }
+
+  private removeStale(stale: string[]): Completion {
+    return {
+      job: "",
+      conditions: [],
+      writes: stale.map((key) => ({ remove: key })),
+      onDurable: () => {
+        for (const key of stale) this.staleKeys.delete(key);
+      },
+      onJobGone: () => undefined,
+    };
   }
 
-  private nowDurable(job: Job, indexes: Set<number>, written: number[]): void {
-    for (const i of written) {
-      job.durable.add(i);
-      indexes.delete(i);
+  private markDurable(job: Job, indexes: Set<number>, written: number[]): void {
+    for (const index of written) {
+      job.durable.add(index);
+      indexes.delete(index);
     }
     if (indexes.size === 0 && this.unwritten.get(job) === indexes) this.unwritten.delete(job);
   }
@@ -138,7 +160,7 @@
       conditions: [{ key: keys.job(id), version: job.version }],
       writes: [{ put: keys.endedJob(id), value: { stage: "done", done: tasks } }, { remove: keys.job(id) }],
       onDurable: () => {
-        for (let i = 0; i < tasks; i++) job.durable.add(i);
+        for (let index = 0; index < tasks; index++) job.durable.add(index);
         this.unwritten.delete(job);
         this.progress.remove(id);
         this.log.info({ job: id }, "job done");
@@ -149,22 +171,20 @@
     };
   }
 
-  private completeChunks(job: Job, indexes: Set<number>, room: number): Completion {
+  private completeChunks(job: Job, indexes: Set<number>, maxWrites: number): Completion {
     const { id } = job.spec;
-    const chunks = [...new Set([...indexes].map((i) => Math.floor(i / CHUNK_TASKS)))].slice(
-      0,
-      Math.max(1, room),
-    );
-    const written = [...indexes].filter((i) => chunks.includes(Math.floor(i / CHUNK_TASKS)));
+    const changedChunks = new Set([...indexes].map(chunkOf));
+    const chunks = [...changedChunks].slice(0, Math.max(1, maxWrites));
+    const written = [...indexes].filter((index) => chunks.includes(chunkOf(index)));
     return {
       job: id,
       conditions: [{ key: keys.job(id), version: job.version }],
-      writes: chunks.map((c) => ({
-        put: keys.completedTasksChunk(id, c),
-        value: { bits: job.done.encodeChunk(c) },
+      writes: chunks.map((chunk) => ({
+        put: keys.completedTasksChunk(id, chunk),
+        value: { bits: job.done.encodeChunk(chunk) },
       })),
       onDurable: () => {
-        this.nowDurable(job, indexes, written);
+        this.markDurable(job, indexes, written);
       },
       onJobGone: () => {
         this.discard(job);
@@ -172,7 +192,7 @@
     };
   }
 
-  /** What was to be written of a job whose record is gone is never tried again, or it would take others with it. */
+  /** What was to be written of a job whose record is gone is never retried, or other jobs' writes would fail with it. */
   private discard(job: Job): void {
     this.unwritten.delete(job);
     this.dropJob(job.spec.id);
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -1,21 +1,22 @@
-/** Tells jobs that were submitted with a mistake from faulty machines, by where else each of them does well. */
+/** Distinguishes faulty jobs from faulty machines, by where else each of them succeeds. */
 import type { Logger } from "../runtime/log.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
 import type { Job, Machine } from "../workers/model.js";
 
-/** A job that fails on so many machines is at fault itself. */
+/** A job that fails on so many machines is faulty itself. */
 const FAULTY_JOB_MACHINES = 3;
 
-/** The longest that a faulty job is not tried, as a part of the time that nobody waits beside room. */
+/** The longest back-off of a faulty job, as a part of the time that nobody waits beside free capacity. */
 const MAX_BACK_OFF_FRACTION = 2 / 3;
+const MAX_BACK_OFF_MS = MAX_BACK_OFF_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
 
-/** So many leases after a failure the job may be tried on that machine again. */
+/** So many leases after a failure the job may be retried on that machine. */
 const FAILURE_MEMORY_LEASES = 2;
 
-/** A machine on which so many jobs fail, with no success between, is at fault itself. */
+/** A machine on which so many jobs fail, with no success between, is faulty itself. */
 const FAULTY_MACHINE_JOBS = 2;
 
-/** Counts failures per job and machine, quarantines machines and retries faulty jobs with growing pauses. */
+/** Counts failures per job and machine, quarantines machines and retries faulty jobs with exponential back-off. */
 export class FailureTracker {
   constructor(
     private readonly machines: ReadonlyMap<string, Machine>,
@@ -23,16 +24,16 @@
     private readonly log: Logger,
   ) {}
 
-  /** A task ended well: neither its job nor its machine is at fault. */
+  /** A task succeeded: neither its job nor its machine is faulty. */
   succeeded(job: Job, machine: Machine): void {
     machine.failedJobs.clear();
     job.backOffCount = 0;
     job.suspectedFaulty = false;
   }
 
-  /** A task of the job failed on the machine. */
+  /** A task of the job failed on the machine; `now` is steady time in milliseconds. */
   failed(job: Job, machine: Machine, now: number): void {
-    // What was still under way when the job was found faulty says nothing new, of it or of its machines.
+    // Tasks that were running when the job was found faulty prove nothing new about it or its machines.
     if (job.notBefore > now) return;
     job.failedOn.set(machine.host, now);
     machine.failedJobs.add(job.spec.id);
@@ -44,30 +45,25 @@
   }
 
   /**
-   * It fails wherever it runs. Its machines are not to blame, and it is tried again ever more rarely, but within the time
-   * that nobody waits beside room: it may have been the machines after all.
+   * The job fails wherever it runs. Its machines are not at fault, and it is retried with exponential back-off, but within
+   * the time that nobody waits beside free capacity: it may have been the machines after all.
    */
   private backOff(job: Job, now: number): void {
     for (const host of job.failedOn.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
     job.failedOn.clear();
     job.suspectedFaulty = true;
-    job.notBefore =
-      now +
-      Math.min(
-        2 ** job.backOffCount * this.leaseMs,
-        MAX_BACK_OFF_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000,
-      );
+    job.notBefore = now + Math.min(2 ** job.backOffCount * this.leaseMs, MAX_BACK_OFF_MS);
     job.backOffCount++;
     this.log.info(
       { job: job.spec.id, failures: job.backOffCount },
-      "job fails on every machine, backing off",
+      "job backed off: it fails on every machine",
     );
   }
 
-  /** Guards against a job that waits for ever beside room: the only machines may be those on which it once failed. */
+  /** Guards against a job that waits for ever beside free capacity: the only machines may be those on which it failed. */
   expireFailures(jobs: Iterable<Job>, now: number): void {
     for (const { failedOn } of jobs)
-      for (const [host, at] of failedOn)
-        if (now - at > FAILURE_MEMORY_LEASES * this.leaseMs) failedOn.delete(host);
+      for (const [host, failedAt] of failedOn)
+        if (now - failedAt > FAILURE_MEMORY_LEASES * this.leaseMs) failedOn.delete(host);
   }
 }
--- /dev/null
+++ b/src/shards/heartbeat-responder.ts
@@ -0,0 +1,69 @@
+/** Decides how one shard's owner responds to a heartbeat. */
+import type { SteadyClock } from "../runtime/clock.js";
+import type { Heartbeat, WorkerCommand } from "../wire/index.js";
+import { limitCommands } from "../workers/heartbeat-reconciliation.js";
+import type { CompletionWriter } from "./completion-writer.js";
+import type { MachineRecorder } from "./machine-recorder.js";
+import type { ShardTerm } from "./owner-term.js";
+import type { RenewalGuard } from "./renewal-guard.js";
+import type { RoundThrottle } from "./round-throttle.js";
+import type { Shard } from "./shard.js";
+import type { HeartbeatResponse, ShardOwnerCallbacks } from "./shard-owner-messages.js";
+
+const REFUSED: HeartbeatResponse = { kind: "refused" };
+
+/** What the responder of one shard is made from. */
+export interface HeartbeatResponderDependencies {
+  readonly shard: Shard;
+  readonly term: ShardTerm;
+  readonly callbacks: ShardOwnerCallbacks;
+  readonly renewalGuard: RenewalGuard;
+  readonly rounds: RoundThrottle;
+  readonly machineRecorder: MachineRecorder;
+  readonly completionWriter: CompletionWriter;
+  readonly clock: SteadyClock;
+}
+
+/** Responds to the heartbeats of one shard's workers. */
+export class HeartbeatResponder {
+  constructor(private readonly dependencies: HeartbeatResponderDependencies) {}
+
+  /** Reconciles a heartbeat, places on its machine, and renews the worker's lease if that is allowed. */
+  respond(heartbeat: Heartbeat): HeartbeatResponse {
+    const { shard, term, callbacks, renewalGuard, clock } = this.dependencies;
+    const now = clock();
+    const permission = renewalGuard.permission(
+      callbacks.authority(),
+      heartbeat.highestToken,
+      now - shard.viewCompleteAsOf,
+    );
+    if (!permission.allowed) {
+      // Either we are deposed, and the advance fails, or the machine comes from a shard with a higher token.
+      if (permission.reason === "newer_token") callbacks.advanceToken();
+      return REFUSED;
+    }
+    term.follow(permission.token);
+    const commands = shard.reconcileHeartbeat(heartbeat, now);
+    if (commands === null) {
+      renewalGuard.heartbeatIgnored();
+      return REFUSED;
+    }
+    this.dependencies.machineRecorder.record();
+    this.place(heartbeat.host, permission.token, now, commands);
+    this.dependencies.completionWriter.write();
+    const renewal = renewalGuard.decide(permission, heartbeat, limitCommands(commands), (job) =>
+      shard.isLiveJob(job),
+    );
+    return renewal === null ? REFUSED : { kind: "commands", renewal };
+  }
+
+  /** Adds the starts of tasks that are placed on the machine now to the commands. */
+  private place(host: string, token: number, now: number, commands: WorkerCommand[]): void {
+    const { shard, callbacks, rounds } = this.dependencies;
+    if (!callbacks.mayPlace() || !rounds.placeAtHeartbeat(host, token, now)) return;
+    const starts = commands.filter(({ op }) => op === "start");
+    const startedAttempts = new Set(starts.map(({ attempt }) => attempt));
+    for (const start of shard.startCommands(host))
+      if (!startedAttempts.has(start.attempt)) commands.push(start);
+  }
+}
--- a/src/shards/job-migrator.ts
+++ b/src/shards/job-migrator.ts
@@ -1,80 +1,104 @@
-/** Passes jobs that have not begun from one shard to another, each in one transaction whose outcome is found out. */
+/** Migrates jobs that have not begun to another shard, each in one transaction whose outcome is resolved. */
 import type { JobRecord } from "../jobs/job-records.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { jittered, sleep } from "../runtime/sleep.js";
-import type { StateStoreClient } from "../state/state-store-client.js";
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
+import type { StateStoreClient } from "../state/state-store-client.js";
 import type { Condition, Write } from "../wire/index.js";
 import type { Job } from "../workers/model.js";
+import type { PreparedMigration } from "./migration-preparation.js";
+import type { OwnerTerm } from "./owner-term.js";
 import type { Shard } from "./shard.js";
 
-/** The term of the owner that passes jobs on. */
-export interface OwnerTerm {
-  /** The shard's token if its owner may act for it now. */
-  token(): number | null;
-  /** Whether another owner has taken the shard's place. */
-  over(): boolean;
+/** What the migration of jobs from one shard is made from. */
+export interface JobMigratorDependencies {
+  readonly shard: Shard;
+  readonly term: OwnerTerm;
+  readonly state: StateStoreClient;
+  readonly view: ReplicaView;
+  readonly clock: SteadyClock;
+  /** About the time between two tries of a migration whose outcome is unknown, in milliseconds. */
+  readonly retryMs: number;
+  readonly log: Logger;
+}
+
+/**
+ * What a try of a migration has shown. `record_changed`: the job's record is not the one that the migration started
+ * from, by this transaction or by another; the watch shows what it holds. `rejected` is final: what the transaction was
+ * conditional on never comes back, so that an earlier try that is applied late fails as well.
+ */
+type MigrationOutcome = "record_changed" | "rejected" | "unknown";
+
+interface MigrationTransaction {
+  conditions: Condition[];
+  writes: Write[];
 }
 
-/** Passes jobs of one shard on. */
+/** Migrates jobs of one shard to others. */
 export class JobMigrator {
-  constructor(
-    private readonly shard: Shard,
-    private readonly term: OwnerTerm,
-    private readonly spacingMs: number,
-    private readonly state: StateStoreClient,
-    private readonly view: ReplicaView,
-    private readonly clock: SteadyClock,
-    private readonly log: Logger,
-  ) {}
+  constructor(private readonly dependencies: JobMigratorDependencies) {}
 
   /**
-   * Passes a job that has not begun to another shard, in one transaction that both shards' tokens guard. Until its
-   * outcome is known nothing of the job starts here, and what it may use elsewhere counts against its team's limit.
+   * Migrates a job that has not begun, in one transaction that is conditional on both shards' tokens. Until its outcome
+   * is known none of the job's tasks starts here, and what it may use elsewhere counts against its team's quota.
    */
-  async migrate(id: string, to: number): Promise<void> {
-    const token = this.term.token();
-    const theirs = this.view.get(keys.shard(to));
-    if (token === null || theirs === undefined) return;
-    const prepared = this.shard.beginMigration(id, this.clock());
-    if (prepared === null) return;
-    const { job, terms } = prepared;
-    const record: JobRecord = { spec: job.spec, shard: to, acceptedAt: job.acceptedAt };
+  async migrate(id: string, targetShard: number): Promise<void> {
+    const { shard, term, view, clock } = this.dependencies;
+    const token = term.currentToken();
+    const targetVersion = view.get(keys.shard(targetShard))?.version;
+    if (token === null || targetVersion === undefined) return;
+    const migration = shard.beginMigration(id, clock());
+    if (migration === null) return;
+    const transaction = {
+      conditions: [
+        { key: keys.job(id), version: migration.job.version },
+        { key: keys.shard(shard.id), version: token },
+        { key: keys.shard(targetShard), version: targetVersion },
+      ],
+      writes: this.migrationWrites(migration, targetShard),
+    };
+    await this.commit(migration.job, targetShard, transaction);
+  }
+
+  private migrationWrites({ job, terms }: PreparedMigration, targetShard: number): Write[] {
+    const { spec, acceptedAt } = job;
+    const record: JobRecord = { spec, shard: targetShard, acceptedAt };
     if (terms.reservation !== null) record.mostAtOnce = terms.maxParallelTasks;
     if (terms.migratedIn) record.guest = true;
-    const writes: Write[] = [{ put: keys.job(id), value: record }];
-    if (terms.reservation !== null)
-      writes.push({ put: keys.quotaReservation(this.shard.id, id), value: terms.reservation });
-    const guards = [
-      { key: keys.job(id), version: job.version },
-      { key: keys.shard(this.shard.id), version: token },
-      { key: keys.shard(to), version: theirs.version },
-    ];
-    for (let passed = await this.tryMigrate(job, guards, writes); !this.term.over();) {
-      if (passed === false) this.shard.migrationFailed(job);
-      if (passed === true) this.log.info({ job: id, shard: this.shard.id, to }, "job passed on");
-      if (passed !== null) return;
-      await sleep(jittered(this.spacingMs));
-      passed = await this.tryMigrate(job, guards, writes);
+    const writes: Write[] = [{ put: keys.job(spec.id), value: record }];
+    if (terms.reservation !== null) {
+      const key = keys.quotaReservation(this.dependencies.shard.id, spec.id);
+      writes.push({ put: key, value: terms.reservation });
     }
+    return writes;
   }
 
-  /**
-   * Whether the job's record has changed under the transaction or another's; null where that is not known. The feed
-   * shows what a changed record says. False is final: what guards the transaction never comes back, so that an earlier
-   * try that is carried out late fails as well.
-   */
-  private async tryMigrate(job: Job, guards: Condition[], writes: Write[]): Promise<boolean | null> {
+  /** Tries the transaction until its outcome is known, or the owner's term is over. */
+  private async commit(job: Job, targetShard: number, transaction: MigrationTransaction): Promise<void> {
+    const { shard, term, retryMs, log } = this.dependencies;
+    let outcome = await this.tryCommit(job, transaction);
+    while (!term.isOver()) {
+      if (outcome === "rejected") shard.migrationFailed(job);
+      if (outcome === "record_changed")
+        log.info({ job: job.spec.id, shard: shard.id, to: targetShard }, "job migrated");
+      if (outcome !== "unknown") return;
+      await sleep(jittered(retryMs));
+      outcome = await this.tryCommit(job, transaction);
+    }
+  }
+
+  private async tryCommit(job: Job, { conditions, writes }: MigrationTransaction): Promise<MigrationOutcome> {
+    const { state, log } = this.dependencies;
     try {
-      const result = await this.state.compareAndSwap(guards, writes, "note");
-      if (result.ok) return true;
-      const now = await this.state.read(keys.job(job.spec.id));
-      return now?.version !== job.version;
+      const result = await state.compareAndSwap(conditions, writes, "note");
+      if (result.ok) return "record_changed";
+      const entry = await state.read(keys.job(job.spec.id));
+      return entry?.version === job.version ? "rejected" : "record_changed";
     } catch (err) {
-      this.log.debug({ err: (err as Error).message }, "job not known to have passed on");
-      return null;
+      log.debug({ err }, "job migration not resolved");
+      return "unknown";
     }
   }
 }
--- a/src/shards/preemption-reservations.ts
+++ b/src/shards/preemption-reservations.ts
@@ -1,4 +1,4 @@
-/** Machines reserved for a while for the job for which tasks were stopped there. */
+/** Machines that are reserved for a limited time for the job for which tasks were preempted there. */
 import type { Job, Machine } from "../workers/model.js";
 
 interface PreemptionReservation {
@@ -8,22 +8,23 @@
 }
 
 /**
- * Guards against stopping tasks in vain: other waiting work would take the room before enough of it is there for the
- * job that it is made for.
+ * Guards against preempting tasks in vain: other waiting jobs would take the capacity before enough of it is free for
+ * the job that it was freed for.
  */
 export class PreemptionReservations {
   private readonly reservations = new Map<Machine, PreemptionReservation>();
 
+  /** Reserves a machine for a job until steady time `until`, in milliseconds. */
   reserve(machine: Machine, job: Job, until: number): void {
     this.reservations.set(machine, { job, until });
   }
 
-  /** The machine has left the shard. */
+  /** The machine was removed from the shard. */
   release(machine: Machine): void {
     this.reservations.delete(machine);
   }
 
-  /** The reservations that still hold; ends those that have run out or whose job waits no longer. */
+  /** The reservations in force; removes those that have expired or whose job has no waiting tasks any more. */
   active(now: number): Map<Machine, Job> {
     const active = new Map<Machine, Job>();
     for (const [machine, { job, until }] of this.reservations) {
--- /dev/null
+++ b/src/shards/removal-candidates.ts
@@ -0,0 +1,54 @@
+/** Which machines of a shard may be removed from it, and which of them have to be recorded first. */
+import type { Machine } from "../workers/model.js";
+
+/** Why machines are removed: `drain` returns them to the cloud, `transfer` gives them to another shard. */
+export type RemovalReason = "drain" | "transfer";
+
+/** So many heartbeats in a row must have shown a machine empty before it may be removed. */
+const MIN_EMPTY_HEARTBEATS = 2;
+
+/**
+ * Selects those of the hosts that may be removed, and marks them: nothing is placed on them from now on. The mark is
+ * taken back with `cancelRemoval`.
+ */
+export function beginRemoval(
+  machines: ReadonlyMap<string, Machine>,
+  hosts: string[],
+  reason: RemovalReason,
+): string[] {
+  return hosts.filter((host) => {
+    const machine = machines.get(host);
+    if (machine === undefined || machine.removalPending) return false;
+    if (!isIdle(machine) && !(reason === "drain" && isLost(machine))) return false;
+    machine.removalPending = true;
+    return true;
+  });
+}
+
+/** The machines are not removed after all. */
+export function cancelRemoval(machines: ReadonlyMap<string, Machine>, hosts: string[]): void {
+  for (const host of hosts) {
+    const machine = machines.get(host);
+    if (machine) machine.removalPending = false;
+  }
+}
+
+/** The machines that have reported while their records do not show it yet. */
+export function findUnrecordedHosts(machines: Iterable<Machine>): string[] {
+  return [...machines].filter(isUnrecorded).map(({ host }) => host);
+}
+
+function isIdle(machine: Machine): boolean {
+  return machine.healthy && machine.empty && machine.emptyHeartbeats >= MIN_EMPTY_HEARTBEATS;
+}
+
+/** Such a machine need not be empty to be returned: the return itself proves that nothing runs on it any more. */
+function isLost(machine: Machine): boolean {
+  return (
+    !machine.followsTerm || machine.leaseExpiredAt !== null || machine.responsesLost || machine.quarantined
+  );
+}
+
+function isUnrecorded({ lastHeartbeatAt, record, removalPending }: Machine): boolean {
+  return lastHeartbeatAt !== null && !record.hasReported && !record.draining && !removalPending;
+}
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -1,4 +1,4 @@
-/** Has every answer to a worker decided on, counts the outcomes, and logs those that matter. */
+/** Decides on every lease renewal, counts the outcomes, and logs those that matter. */
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
@@ -13,86 +13,91 @@
 } from "../workers/lease-renewal.js";
 import type { DecisionMetrics } from "./decision-metrics.js";
 
-/** Durations that the gate goes by. */
+/** The durations that the renewal guard goes by. */
 export interface RenewalGuardTimings {
-  /** The oldest copy of the records on which a worker's lease may be renewed. */
+  /** The age of a shard's view from which on no lease may be renewed on it. */
   staleMs: number;
   /** The least time between two log lines about refusals. */
   spacingMs: number;
 }
 
-/** Reasons that are about one machine or one report: they are counted, and worth no line each. */
+/** Reasons that concern one machine or one heartbeat: they are counted, and not logged one by one. */
 const ROUTINE_REFUSALS: ReadonlySet<RenewalRefusal> = new Set(["newer_token", "report_not_newer"]);
 
-/** The way out for all answers of one shard's owner. */
+/** All lease renewals of one shard's owner pass through its guard. */
 export class RenewalGuard {
-  /** The reason of the last refusal that concerned the whole shard; null while it answers. */
-  private refusing: RenewalRefusal | null = null;
-  private lastViolation = -Infinity;
+  /** The reason of the last refusal that concerned the whole shard; null while it renews leases. */
+  private shardRefusal: RenewalRefusal | null = null;
+  private lastViolationAt = -Infinity;
 
   constructor(
     private readonly shard: number,
-    private readonly figures: RenewalGuardTimings,
+    private readonly timings: RenewalGuardTimings,
     private readonly metrics: DecisionMetrics,
     private readonly clock: SteadyClock,
     private readonly log: Logger,
   ) {}
 
-  /** Whether a report may be answered at all. */
-  permission(authority: ShardAuthority, workerToken: number, copyAgeMs: number): RenewalPermission {
-    const { staleMs } = this.figures;
-    const right = decideRenewalPermission({ authority, workerToken, shardViewAgeMs: copyAgeMs, staleMs });
-    if (!right.allowed) this.metrics.refused(right.reason);
-    if (right.allowed || !ROUTINE_REFUSALS.has(right.reason))
-      this.noteChange(right.allowed ? null : right.reason, authority, copyAgeMs);
-    return right;
+  /** Whether a heartbeat may be answered with a renewal at all; `viewAgeMs` is the age of the shard's own view. */
+  permission(authority: ShardAuthority, workerToken: number, viewAgeMs: number): RenewalPermission {
+    const { staleMs } = this.timings;
+    const permission = decideRenewalPermission({
+      authority,
+      workerToken,
+      shardViewAgeMs: viewAgeMs,
+      staleMs,
+    });
+    if (!permission.allowed) this.metrics.refused(permission.reason);
+    if (permission.allowed || !ROUTINE_REFUSALS.has(permission.reason))
+      this.logChange(permission.allowed ? null : permission.reason, authority, viewAgeMs);
+    return permission;
   }
 
-  /** The report was an old one, or not of a machine of this shard. */
+  /** The heartbeat was not newer than the last one, or not of a machine of this shard. */
   heartbeatIgnored(): void {
     this.metrics.refused("report_not_newer");
   }
 
-  /** The answer as it may go out; null if it would break a rule. */
+  /** The renewal that may be sent; null if it would break a rule. */
   decide(
-    right: Extract<RenewalPermission, { allowed: true }>,
-    report: Heartbeat,
+    permission: Extract<RenewalPermission, { allowed: true }>,
+    heartbeat: Heartbeat,
     commands: readonly WorkerCommand[],
     isLive: (job: string) => boolean,
   ): LeaseRenewal | null {
-    const renewal = LeaseRenewal.decide(right.token, report, commands, isLive);
+    const renewal = LeaseRenewal.decide(permission.token, heartbeat, commands, isLive);
     if (renewal instanceof LeaseRenewal) {
-      this.metrics.answered(right.copyAgeMs);
+      this.metrics.answered(permission.copyAgeMs);
       return renewal;
     }
     this.metrics.refused(renewal.reason);
-    this.reportViolation(renewal, report, right);
+    this.logViolation(renewal, heartbeat, permission);
     return null;
   }
 
-  /** One line when the shard stops answering and one when it goes on, with the evidence. */
-  private noteChange(reason: RenewalRefusal | null, authority: ShardAuthority, copyAgeMs: number): void {
-    if (reason === this.refusing) return;
-    this.refusing = reason;
+  /** One line when the shard stops renewing leases and one when it goes on, with the evidence. */
+  private logChange(reason: RenewalRefusal | null, authority: ShardAuthority, viewAgeMs: number): void {
+    if (reason === this.shardRefusal) return;
+    this.shardRefusal = reason;
     const evidence = {
       shard: this.shard,
       token: authority.held ? authority.token : null,
       leaseLeftMs: Math.round(authority.leaseLeftMs),
       viewAgeMs: Math.round(authority.viewAgeMs),
-      copyAgeMs: Math.round(copyAgeMs),
+      copyAgeMs: Math.round(viewAgeMs),
     };
-    if (reason === null) this.log.info(evidence, "reports are answered");
-    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "reports are refused");
-    else this.log.info({ ...evidence, reason }, "reports are refused");
+    if (reason === null) this.log.info(evidence, "heartbeats answered");
+    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "heartbeats refused");
+    else this.log.info({ ...evidence, reason }, "heartbeats refused");
   }
 
-  /** Bounded in time: a fault may concern every machine of a large shard. The counter tells how many there were. */
-  private reportViolation(refused: RejectedRenewal, report: Heartbeat, right: RenewalPermission): void {
+  /** At most one line in `spacingMs`: a fault may concern every machine of a large shard. The metrics count them all. */
+  private logViolation(rejected: RejectedRenewal, heartbeat: Heartbeat, permission: RenewalPermission): void {
     const now = this.clock();
-    if (now - this.lastViolation < this.figures.spacingMs) return;
-    this.lastViolation = now;
-    const { host, epoch: session, sequence: seq, highestToken: token } = report;
-    const evidence = { shard: this.shard, host, session, seq, workerToken: token, ...right };
-    this.log.error({ ...evidence, ...refused }, "answer refused: it would break a rule");
+    if (now - this.lastViolationAt < this.timings.spacingMs) return;
+    this.lastViolationAt = now;
+    const { host, epoch: session, sequence: seq, highestToken: workerToken } = heartbeat;
+    const evidence = { shard: this.shard, host, session, seq, workerToken, ...permission };
+    this.log.error({ ...evidence, ...rejected }, "lease renewal rejected");
   }
 }
--- a/src/shards/shard-owner-messages.ts
+++ b/src/shards/shard-owner-messages.ts
@@ -1,13 +1,13 @@
-/** What a shard owner is told, what it needs of the rest of the process, and the durations it goes by. */
+/** The messages to a shard owner, its callbacks into the rest of the process, and its timings. */
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { Demand, ShardSummary } from "../peers/messages.js";
 import type { Heartbeat, RecordChange } from "../wire/index.js";
 import type { LeaseRenewal } from "../workers/lease-renewal.js";
 
-/** The owner's answer to a worker's report. */
+/** The owner's response to a worker's heartbeat. */
 export type HeartbeatResponse =
   | { kind: "commands"; renewal: LeaseRenewal }
-  /** Not entitled, or it makes no sense to act: the worker should look elsewhere or come again. */
+  /** The owner may not renew the lease, or the heartbeat is not newer: the worker should try elsewhere or again. */
   | { kind: "refused" };
 
 /** How many tasks of a job are done and running, as its shard's owner knows; `known` is false for a job it does not have. */
@@ -17,15 +17,15 @@
   running: number;
 }
 
-/** What a shard owner is told. */
+/** The messages to a shard owner. */
 export type ShardOwnerMessage =
-  /** Changed records (null: all may be different), and the steady time up to which they are surely complete. */
+  /** Changed records (null: all may be different), and the steady time up to which they are known to be complete. */
   | { kind: "records_changed"; changes: RecordChange[] | null; completeAsOf: number }
   | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (response: HeartbeatResponse) => void }
   | { kind: "tick" }
-  /** A write of completed tasks has ended, well or not. */
+  /** A write of completed tasks has ended, successfully or not. */
   | { kind: "completions_written" }
-  /** A write of which machines have reported has ended, well or not. */
+  /** A write of which machines have reported has ended, successfully or not. */
   | { kind: "machines_recorded" }
   | { kind: "task_counts"; job: string; reply: (counts: TaskCounts) => void }
   | { kind: "drain_machines"; hosts: string[]; reply: (hosts: string[]) => void }
@@ -38,7 +38,9 @@
 export interface ShardOwnerCallbacks {
   /** Whether this process may act for the shard now. */
   authority(): ShardAuthority;
+  /** Advances the shard's fencing token. */
   advanceToken(): void;
+  /** Sends a summary to the leader. */
   sendSummary(summary: ShardSummary): void;
   /** Whether tasks may be started and stopped now, as far as links go. */
   mayPlace(): boolean;
@@ -46,14 +48,14 @@
   mayRemoveMachines(): boolean;
 }
 
-/** Durations that a shard owner goes by. */
+/** The durations that a shard owner goes by. */
 export interface ShardOwnerTimings {
-  /** How long a round of placing may take. */
+  /** How long a placement round may take. */
   roundMs: number;
   /** The least time between two summaries, and between two writes of completions. */
   spacingMs: number;
-  /** The least time between two looks for tasks to stop. */
+  /** The least time between two searches for tasks to preempt. */
   preemptMs: number;
-  /** After so many ticks without a report the shard's workers do not reach this node. */
+  /** After so many ticks without a heartbeat the shard's workers do not reach this node. */
   quietTicks: number;
 }
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -1,115 +1,81 @@
 /**
- * One shard as its owner sees it: the jobs and machines of the records, the workers' reports, and the decisions
- * that follow. Time and records come in, commands, writes and summaries go out; nothing here waits or calls.
+ * One shard as its owner sees it. Records and heartbeats come in with the time; commands, writes and summaries go out;
+ * nothing here waits or makes a call. Each concern has a module of its own, and this one connects them:
+ *
+ * - `shard-parts.ts`: how the parts are built
+ * - `shard-records.ts`, `job-table.ts`, `machine-table.ts`: the state, kept in step with the records
+ * - `heartbeat-handler.ts`, `lease-expiry.ts`: what heartbeats and their absence prove
+ * - `placement-scheduler.ts`, `task-eviction.ts`: which tasks start and stop
+ * - `removal-candidates.ts`, `cordons.ts`, `migration-preparation.ts`: what may go to other shards or to the cloud
+ * - `completion-log.ts`: what is to be written of completed tasks
  */
-import type { Settings } from "../config/settings.js";
 import type { Demand, ShardSummary } from "../peers/messages.js";
+import { largestFreeCapacity, migrationCandidates } from "../placement/migration-policy.js";
+import { computeDemand, cpusByTaskState, measureLoad, summarizeMachine } from "../placement/shard-summary.js";
 import type { SteadyClock } from "../runtime/clock.js";
-import type { Logger } from "../runtime/log.js";
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
-import { CLOCK_DRIFT, type WorkerCommand, type MachineType, type Heartbeat } from "../wire/index.js";
-import { attach, newPlacement, type Job, type Machine, type Placement } from "../workers/model.js";
-import {
-  reconcileHeartbeat,
-  isLive,
-  isNewerHeartbeat,
-  recordResponse,
-  releaseAll,
-} from "../workers/heartbeat-reconciliation.js";
-import { slotsPerMachine } from "../placement/capacity.js";
+import type { Heartbeat, RecordChange, WorkerCommand } from "../wire/index.js";
+import { isLive } from "../workers/heartbeat-reconciliation.js";
+import type { Job, Machine, Placement } from "../workers/model.js";
 import type { Completion } from "./completion-log.js";
-import { Cordons } from "./cordons.js";
-import { DecisionMetrics } from "./decision-metrics.js";
-import { FailureTracker } from "./failure-tracker.js";
-import {
-  placeOnMachine,
-  placeRound,
-  buildQueue,
-  type PlacementRound,
-  type PlacementInput,
-} from "../placement/placement-round.js";
-import { choosePreemptions } from "../placement/preemption.js";
-import { PreemptionReservations } from "./preemption-reservations.js";
-import { ShardRecords } from "./shard-records.js";
-import { SpeedTracker } from "./speed-tracker.js";
+import { beginMigration, cancelMigration, type PreparedMigration } from "./migration-preparation.js";
 import {
-  largestFreeCapacity,
-  canMigrate,
-  migrationTermsFor,
-  migrationCandidates,
-  type MigrationTerms,
-} from "../placement/migration-policy.js";
-import { computeDemand, measureLoad, summarizeMachine, cpusByTaskState } from "../placement/shard-summary.js";
-import type { QueueEntry } from "../placement/slo-priority.js";
-
-/** Attempts are a token and a count within its term, so that they never repeat. */
-const ATTEMPTS_PER_TOKEN = 2 ** 20;
-/** So many report intervals a machine is reserved for the job for which tasks were stopped there. */
-const PREEMPTION_RESERVATION_HEARTBEATS = 3;
-
-/** With more than this fraction of its processors free a shard has spare capacity. */
-const SPARE_CAPACITY_FRACTION = 1 / 8;
-
-/** One shard's jobs, machines and placements, and all decisions about them. */
-export class Shard extends ShardRecords {
-  private readonly speeds: SpeedTracker;
-  private attemptCount = 0;
-  private resumeAt: string | null = null;
-  private hasSpareCapacity = false;
-  /** The waiting jobs as last ordered, and the machines held back for overdue ones. */
-  private queue: QueueEntry[] = [];
-  /** How many usable machines have an image, as of the last whole round. */
-  private imageCounts = new Map<string, number>();
-  private starvationReservations = new Map<Machine, Job>();
-  /** Machines on which tasks were stopped for a job, and until when they are reserved for it. */
-  private readonly preemptionReservations = new PreemptionReservations();
-  private readonly cordons: Cordons;
-  /** All tokens of this owner's term. */
-  private readonly tokens: Set<number>;
-  private readonly failures: FailureTracker;
-  private readonly leaseMs: number;
-  /** How many machines have spoken and are not silent, as of the last look for silent ones: these should report. */
-  expectedHeartbeatSources = 0;
-
-  constructor(
-    n: number,
-    /** The token with which this owner's term began. */
-    readonly termToken: number,
-    private readonly startedAt: number,
-    private readonly settings: Settings,
-    private readonly types: () => Map<string, MachineType>,
-    view: ReplicaView,
-    log: Logger,
-    metrics = new DecisionMetrics(),
-  ) {
-    super(n, settings.state.valueBytes, settings.workers.cancelMs, log, metrics);
-    const { leaseMs, reportMs } = settings.workers;
-    this.leaseMs = leaseMs * (1 + 2 * CLOCK_DRIFT) + reportMs / 4;
-    this.tokens = new Set([termToken]);
-    this.speeds = new SpeedTracker(log);
-    this.cordons = new Cordons(n, reportMs, log);
-    this.failures = new FailureTracker(this.machines, this.leaseMs, log);
-    this.sync(view, null, startedAt);
-    // A machine that never spoke to an owner has never been told to start anything.
+  beginRemoval,
+  cancelRemoval,
+  findUnrecordedHosts,
+  type RemovalReason,
+} from "./removal-candidates.js";
+import type { TaskCounts } from "./shard-owner-messages.js";
+import { createShardParts, type ShardDependencies, type ShardParts } from "./shard-parts.js";
+
+/** One shard's jobs, machines and placements, and all decisions about them. Instants are steady times in milliseconds. */
+export class Shard {
+  /** The shard's number. */
+  readonly id: number;
+  private readonly parts: ShardParts;
+
+  constructor(dependencies: ShardDependencies) {
+    this.id = dependencies.shard;
+    this.parts = createShardParts(dependencies);
+    this.sync(dependencies.view, null, dependencies.termStartedAt);
+    // A machine that has never reported to an owner has never been sent a start.
     for (const machine of this.machines.values()) machine.unreconciled = machine.record.hasReported;
   }
 
-  protected override onMachineRemoved(machine: Machine): void {
-    this.starvationReservations.delete(machine);
-    this.preemptionReservations.release(machine);
-    this.cordons.forget(machine);
+  /** The jobs by id. */
+  get jobs(): ReadonlyMap<string, Job> {
+    return this.parts.jobs.byId;
   }
 
-  /** The shard's token has been advanced by this owner itself: workers that show the new one follow it as well. */
-  tokenAdvanced(token: number): void {
-    this.tokens.add(token);
+  /** The machines by host. */
+  get machines(): ReadonlyMap<string, Machine> {
+    return this.parts.machines.byHost;
+  }
+
+  /** How many machines are expected to report, as of the last check for expired leases. */
+  get expectedHeartbeatSources(): number {
+    return this.parts.leases.expectedHeartbeatSources;
+  }
+
+  /** Up to when the shard's state is known to be complete; -Infinity after a change that could not be applied. */
+  get viewCompleteAsOf(): number {
+    return this.parts.records.viewCompleteAsOf;
   }
 
-  /** Whether everything that an earlier owner may have left running has been seen, or is surely over. */
+  /** Whether everything that an earlier owner may have left running has been reported, or has surely ended. */
   get recovered(): boolean {
-    for (const machine of this.machines.values()) if (machine.unreconciled) return false;
-    return true;
+    return this.parts.machines.isReconciled;
+  }
+
+  /** Applies changed records (null: everything may be different), after which the state is complete up to `asOf`. */
+  sync(view: ReplicaView, changes: RecordChange[] | null, now: number, asOf = view.completeAsOf): void {
+    this.parts.records.sync(view, changes, now, asOf);
+  }
+
+  /** This owner has advanced the shard's token itself: workers that show the new one follow this owner as well. */
+  tokenAdvanced(token: number): void {
+    this.parts.heartbeats.tokenAdvanced(token);
   }
 
   /** Whether the records, as they are known here, still have a job. */
@@ -117,319 +83,139 @@
     return isLive(this.jobs.get(id));
   }
 
-  /** Null: an old report, about which nothing is to be said. */
-  reconcileHeartbeat(report: Heartbeat, now: number): WorkerCommand[] | null {
-    const machine = this.machines.get(report.host);
-    if (machine === undefined || !isNewerHeartbeat(machine, report)) return null;
-    const wasUp = machine.up;
-    const commands = reconcileHeartbeat(machine, report, {
-      jobs: this.jobs,
-      now,
-      termStartedAt: this.startedAt,
-      leaseMs: this.leaseMs,
-      isTokenOfTerm: (token) => this.tokens.has(token),
-      onTaskExited: (job, index, where, cause) => {
-        this.taskExited(job, index, where, cause, now);
-      },
-      onAttemptFinished: (placement) => {
-        this.speeds.finished(placement, now);
-      },
-    });
-    if (machine.up && !wasUp) this.log.info({ host: machine.host, shard: this.id }, "machine heard");
-    if (machine.followsTerm) machine.unreconciled = false;
-    recordResponse(machine, now);
-    this.endedJobs.noteStops(commands, now);
-    this.sweepJobs(now);
-    return commands;
-  }
-
-  private taskExited(job: Job, index: number, machine: Machine, cause: string, now: number): void {
-    const { reportMs } = this.settings.workers;
-    switch (cause) {
-      case "done":
-        this.failures.succeeded(job, machine);
-        // Guards against writing the end of a job that was cancelled while its last task ended: its record is gone, and
-        // the transaction would fail again and again, with those of all the jobs that are written together with it.
-        if (job.terminating) return;
-        this.completions.add(job, index);
-        return;
-      case "error":
-        this.failures.failed(job, machine, now);
-        return;
-      case "no_room":
-        // The worker counts something that we do not see yet; its next reports will show it.
-        machine.notBefore = now + 2 * reportMs;
-        return;
-      case "unknown":
-        // The owner of the job has yet to upload it.
-        job.notBefore = now + 2 * reportMs;
-        return;
-    }
-  }
-
-  /** Ends what can be proven over by the passing of time. */
+  /** A job's cancellation is durable, whether or not the watch has shown it yet. */
+  cancelled(id: string, now: number): void {
+    this.parts.jobs.cancelled(id, now);
+  }
+
+  /** Takes in a heartbeat and returns the commands for the response; null for one that is not to be answered. */
+  reconcileHeartbeat(heartbeat: Heartbeat, now: number): WorkerCommand[] | null {
+    return this.parts.heartbeats.reconcile(heartbeat, now);
+  }
+
+  /** Ends what has surely expired by now. */
   expire(now: number): void {
-    this.expectedHeartbeatSources = 0;
-    for (const machine of this.machines.values()) {
-      // Before the first report in this term, an earlier owner may have answered until the term began.
-      const since =
-        machine.lastHeartbeatAt ?? (machine.unreconciled ? this.startedAt : machine.firstHeartbeatAt);
-      if (since === null || machine.leaseExpiredAt !== null) continue;
-      if (now - since <= this.leaseMs) {
-        this.expectedHeartbeatSources++;
-        continue;
-      }
-      machine.leaseExpiredAt = now;
-      const lost = machine.placements.size;
-      releaseAll(machine);
-      machine.emptySince = null;
-      machine.emptyHeartbeats = 0;
-      machine.unreconciled = false;
-      this.log.info({ host: machine.host, shard: this.id, lost }, "machine silent, its lease is over");
-    }
-    this.cordons.expire(now);
-    for (const id of this.reservations.expire(now))
-      this.completions.removeLater(keys.quotaReservation(this.id, id));
-    this.failures.expireFailures(this.jobs.values(), now);
-    this.sweepJobs(now);
-  }
-
-  /** A whole round of placing; starts go out with the machines' next answers. */
-  place(token: number, now: number, clock: SteadyClock, deadline: number): number {
-    this.newJobs = [];
-    // Most rounds find nothing to place: they must not cost a look at every machine of a large shard.
-    const input = this.hasWaitingTasks() ? this.placementInput(now) : null;
-    this.queue = input === null ? [] : buildQueue(input);
-    if (input === null || this.queue.length === 0) {
-      this.starvationReservations = new Map();
-      this.resumeAt = null;
-      return 0;
-    }
-    this.countImages();
-    const round = placeRound(input, this.queue, clock, deadline);
-    this.resumeAt = round.resumeAt;
-    const started = this.applyRound(round, token, now);
-    const load = measureLoad(input);
-    this.hasSpareCapacity = load.cpus - load.used > SPARE_CAPACITY_FRACTION * load.cpus;
-    return started;
-  }
-
-  private hasWaitingTasks(): boolean {
-    for (const job of this.jobs.values()) if (job.waiting > 0) return true;
-    return false;
-  }
-
-  /** Offers the room of a machine that has just spoken to what waits. */
-  placeOnMachine(host: string, token: number, now: number): number {
-    const machine = this.machines.get(host);
-    if (machine === undefined || !machine.schedulable || this.queue.length === 0) return 0;
-    // Jobs accepted since the last whole round are served from the next one on, in their order.
-    const atHome = (job: Job): boolean => this.hasEnoughImageHolders(job, machine);
-    return this.applyRound(placeOnMachine(machine, this.queue, this.placementInput(now), atHome), token, now);
+    const { leases, cordons, quotaReservations, jobs, failures } = this.parts;
+    leases.expire(now);
+    cordons.expire(now);
+    for (const job of quotaReservations.expire(now))
+      jobs.completions.removeLater(keys.quotaReservation(this.id, job));
+    failures.expireFailures(this.jobs.values(), now);
+    jobs.removeGone(now);
   }
 
-  /** Whether the machines that have a job's image could hold all that waits of it at once. */
-  private hasEnoughImageHolders({ spec, waiting }: Job, machine: Machine): boolean {
-    const type = this.types().get(machine.record.type);
-    const slots = type === undefined ? 0 : slotsPerMachine(spec, type);
-    return slots > 0 && (this.imageCounts.get(spec.image) ?? 0) * slots >= waiting;
+  /** Whether a heartbeat should lead to a full placement round. */
+  get needsFullRound(): boolean {
+    return this.parts.scheduler.needsFullRound;
   }
 
-  private countImages(): void {
-    this.imageCounts = new Map();
-    for (const machine of this.machines.values())
-      if (machine.schedulable)
-        for (const image of machine.images)
-          this.imageCounts.set(image, (this.imageCounts.get(image) ?? 0) + 1);
+  /** A full placement round until `deadline`; starts go out with the machines' next responses. */
+  place(token: number, now: number, clock: SteadyClock, deadline: number): number {
+    return this.parts.scheduler.place(token, now, clock, deadline);
   }
 
-  /**
-   * Whether a report should lead to a whole round: jobs have come since the last one, or there is room to spare. With
-   * room to spare the room of whichever machine speaks is not the best: work is drawn together on full machines, so
-   * that the others run empty and can be returned.
-   */
-  get wantsRound(): boolean {
-    return this.newJobs.length > 0 || this.hasSpareCapacity;
-  }
-
-  private applyRound(round: PlacementRound, token: number, now: number): number {
-    this.starvationReservations = round.reservations;
-    for (const { job, index, machine } of round.starts) {
-      const attempt = token * ATTEMPTS_PER_TOKEN + ++this.attemptCount;
-      const placement = newPlacement(job, index, attempt, machine, now);
-      if (!job.hasStarted) {
-        const waitedS = Math.round((Date.now() - job.acceptedAt) / 1000);
-        this.log.info({ job: job.spec.id, tasks: job.spec.tasks, waitedS }, "job begins");
-      }
-      attach(placement);
-      machine.emptySince = null;
-      machine.emptyHeartbeats = 0;
-    }
-    if (round.starts.length > 0) this.log.debug({ shard: this.id, starts: round.starts.length }, "placed");
-    return round.starts.length;
-  }
-
-  /** The commands for what has been placed on a machine since its report was taken in. */
-  startsFor(host: string): WorkerCommand[] {
-    const machine = this.machines.get(host);
-    if (!machine?.followsTerm) return [];
-    return [...machine.placements]
-      .filter((p) => p.state === "assigned" && !p.stop && !p.job.terminating)
-      .map((p) => ({ op: "start", job: p.job.spec.id, index: p.index, attempt: p.attempt }));
-  }
-
-  /** Stops less urgent work where that makes room for more urgent work in time. */
-  preempt(now: number, clock: SteadyClock, deadline: number): void {
-    const input = { ...this.placementInput(now), reportMs: this.settings.workers.reportMs };
-    const { victims, reserved } = choosePreemptions(input, clock, deadline);
-    let save = 0;
-    for (const victim of victims) {
-      const graceS = victim.job.spec.checkpointS > 0 ? victim.job.spec.saveS : 0;
-      victim.stop = { why: "preempt", graceS };
-      save = Math.max(save, graceS * 1000);
-    }
-    const until = now + save + PREEMPTION_RESERVATION_HEARTBEATS * this.settings.workers.reportMs;
-    for (const [machine, job] of reserved) this.preemptionReservations.reserve(machine, job, until);
-    if (victims.length > 0) this.log.debug({ shard: this.id, stopped: victims.length }, "preempting");
-  }
-
-  /** Stops what can be saved before the cloud takes its machine away. */
-  drainInterrupted(): void {
-    const { reportMs } = this.settings.workers;
-    for (const machine of this.machines.values()) {
-      if (machine.interruptionNoticeS === null) continue;
-      for (const placement of machine.placements) {
-        const { saveS, checkpointS } = placement.job.spec;
-        // The notice may be half of what it says; three reports are needed to stop and to see it stopped.
-        if (checkpointS > 0 && machine.interruptionNoticeS / 2 < saveS + (3 * reportMs) / 1000)
-          placement.stop ??= { why: "drain", graceS: saveS };
-      }
-    }
-  }
-
-  private placementInput(now: number): PlacementInput {
-    return {
-      jobs: [...this.jobs.values()],
-      machines: [...this.machines.values()],
-      types: this.types(),
-      teams: this.settings.teams,
-      objectives: this.settings.objectives,
-      wallNow: Date.now(),
-      runtimeRatio: (className: string) => this.speeds.ratio(className),
-      now,
-      recovered: this.recovered,
-      termToken: this.termToken,
-      reservedQuota: this.reservations.usage,
-      resumeAt: this.resumeAt,
-      starvationReservations: this.starvationReservations,
-      preemptionReservations: this.preemptionReservations.active(now),
-    };
+  /** Offers the free capacity of a machine that has just reported to the waiting jobs. */
+  placeOnMachine(host: string, token: number, now: number): number {
+    return this.parts.scheduler.placeOnMachine(host, token, now);
+  }
+
+  /** The commands for what was placed on a machine since its heartbeat was reconciled. */
+  startCommands(host: string): WorkerCommand[] {
+    return this.parts.scheduler.startCommands(host);
   }
 
-  /** Whether the attempts of this token are nearly used up. */
+  /** Whether the attempt numbers of the current token are nearly used up. */
   get attemptsExhausted(): boolean {
-    return this.attemptCount >= ATTEMPTS_PER_TOKEN / 2;
+    return this.parts.scheduler.attempts.nearlyExhausted;
   }
 
+  /** The owner has a new token, with new attempt numbers. */
   resetAttempts(): void {
-    this.attemptCount = 0;
+    this.parts.scheduler.attempts.reset();
+  }
+
+  /** Stops less urgent tasks where that frees capacity for more urgent ones in time. */
+  preempt(now: number, clock: SteadyClock, deadline: number): void {
+    this.parts.eviction.preempt(this.parts.scheduler.placementInput(now), clock, deadline);
+  }
+
+  /** Stops the tasks that can save before the cloud takes their machine. */
+  drainInterrupted(): void {
+    this.parts.eviction.drainInterrupted(this.machines.values());
   }
 
-  /** Jobs whose last task has completed, to be written within so many operations. */
-  takeFinishedJobs(room: number): Completion[] {
-    return this.completions.finished(room, (job) => this.canComplete(job));
+  /** Jobs whose last task has completed, to be written with at most so many writes. */
+  finishedJobs(maxWrites: number): Completion[] {
+    return this.parts.jobs.completions.finishedJobs(maxWrites, (job) => this.canComplete(job));
   }
 
   /**
-   * Guards the limit that another shard keeps for a job: that shard counts the job until it is told done, so that by then
-   * no attempt of it may run any more, not even one whose task another attempt has completed.
+   * Guards the quota that another shard enforces for a job: that shard counts the job until it is written as done, so
+   * that by then no attempt of it may run any more, not even one whose task another attempt has completed.
    */
   private canComplete(job: Job): boolean {
     return job.maxParallelTasks === Infinity || (job.active.size === 0 && this.recovered);
   }
 
-  /** Completed tasks of jobs that go on, to be written within so many operations. */
-  takeProgress(room: number): Completion[] {
-    return this.completions.progressed(room);
+  /** Completed tasks of jobs that go on, to be written with at most so many writes. */
+  taskProgress(maxWrites: number): Completion[] {
+    return this.parts.jobs.completions.taskProgress(maxWrites);
   }
 
-  /** Machines that have spoken and whose records do not say so yet. */
+  /** The machines that have reported while their records do not show it yet. */
   unrecordedHosts(): string[] {
-    return [...this.machines.values()]
-      .filter(
-        (m) => m.lastHeartbeatAt !== null && !m.record.hasReported && !m.record.draining && !m.removalPending,
-      )
-      .map((m) => m.host);
-  }
-
-  /** The machines of `hosts` that are empty, so that they may leave; nothing is placed on them from now on. */
-  beginRemoval(hosts: string[], anyState: boolean): string[] {
-    return hosts.filter((host) => {
-      const machine = this.machines.get(host);
-      if (machine === undefined || machine.removalPending) return false;
-      const idle = machine.healthy && machine.empty && machine.emptyHeartbeats >= 2;
-      // A machine that never spoke, fell silent or is sick need not be empty: the return itself is the proof.
-      const lost =
-        !machine.followsTerm ||
-        machine.leaseExpiredAt !== null ||
-        machine.responsesLost ||
-        machine.quarantined;
-      if (!idle && !(anyState && lost)) return false;
-      machine.removalPending = true;
-      return true;
-    });
-  }
-
-  /** Lets one machine that suits run empty for a shard that has none. */
-  cordon(to: number, demand: Demand, now: number): void {
-    this.cordons.cordon(to, demand, this.placementInput(now));
-  }
-
-  /** Prepares a job's passing to another shard: nothing of it starts from now on. Null if it may not pass. */
-  beginMigration(id: string, now: number): { job: Job; terms: MigrationTerms } | null {
-    const job = this.jobs.get(id);
-    const input = this.placementInput(now);
-    if (job === undefined || !canMigrate(job, input)) return null;
-    const terms = migrationTermsFor(job, input);
-    if (terms === null) return null;
-    job.migrating = true;
-    if (terms.reservation !== null) this.reservations.hold(id, terms.reservation);
-    return { job, terms };
+    return findUnrecordedHosts(this.machines.values());
   }
 
-  /** The job has surely not passed on. */
-  migrationFailed(job: Job): void {
-    job.migrating = false;
-    this.reservations.release(job.spec.id);
+  /** Selects those of the hosts that may be removed; nothing is placed on them from now on. */
+  beginRemoval(hosts: string[], reason: RemovalReason): string[] {
+    return beginRemoval(this.machines, hosts, reason);
   }
 
+  /** The machines are not removed after all. */
   cancelRemoval(hosts: string[]): void {
-    for (const host of hosts) {
-      const machine = this.machines.get(host);
-      if (machine) machine.removalPending = false;
-    }
+    cancelRemoval(this.machines, hosts);
+  }
+
+  /** Cordons a machine that suits the demand of a shard without machines. */
+  cordon(targetShard: number, demand: Demand, now: number): void {
+    this.parts.cordons.cordon(targetShard, demand, this.parts.scheduler.placementInput(now));
+  }
+
+  /** Prepares a job's migration to another shard; null if it may not be migrated. */
+  beginMigration(id: string, now: number): PreparedMigration | null {
+    const job = this.jobs.get(id);
+    const input = this.parts.scheduler.placementInput(now);
+    return job === undefined ? null : beginMigration(job, input, this.parts.quotaReservations);
+  }
+
+  /** The job has surely not been migrated. */
+  migrationFailed(job: Job): void {
+    cancelMigration(job, this.parts.quotaReservations);
   }
 
-  /** What the processors in use are doing, for operators who ask where money goes. */
+  /** How many processors are in use by tasks in which state, for operators. */
   cpusByTaskState(): Record<Placement["state"], number> {
     return cpusByTaskState(this.machines.values());
   }
 
-  taskCounts(id: string): { known: boolean; done: number; running: number } {
+  /** How many tasks of a job are done and running. */
+  taskCounts(id: string): TaskCounts {
     const job = this.jobs.get(id);
     if (job === undefined) return { known: false, done: 0, running: 0 };
     return { known: true, done: job.done.count, running: job.runningCount };
   }
 
+  /** What the leader is sent of this shard. */
   summary(token: number, now: number): ShardSummary {
-    const input = this.placementInput(now);
+    const input = this.parts.scheduler.placementInput(now);
     return {
       shard: this.id,
       token,
       recovered: this.recovered,
       load: measureLoad(input),
       demand: computeDemand(input),
-      machines: [...this.machines.values()].map((m) => summarizeMachine(m, now)),
+      machines: input.machines.map((machine) => summarizeMachine(machine, now)),
       rooms: largestFreeCapacity(input),
       waiting: migrationCandidates(input),
     };
--- a/src/shards/speed-tracker.ts
+++ b/src/shards/speed-tracker.ts
@@ -1,55 +1,55 @@
-/** What tasks really take: by class, beside their estimates, and by machine, beside the other tasks of their jobs. */
+/** Measured run times: of classes relative to their estimates, of machines relative to other tasks of the same jobs. */
 import type { Logger } from "../runtime/log.js";
 import type { Job, Machine, Placement } from "../workers/model.js";
 
-/** The weight of one more task in what is known of a class's estimates. */
+/** The weight of one more task in the moving average of a class's run times. */
 const CLASS_WEIGHT = 0.1;
-/** The weight of one more task in what is known of a machine's speed. */
+/** The weight of one more task in the moving average of a machine's run times. */
 const MACHINE_WEIGHT = 0.25;
-/** From so many completed tasks on a job says what its tasks usually take. */
-const LEAST_TASKS_OF_JOB = 3;
-/** From so many compared tasks on a machine may count as slow. */
-const LEAST_TASKS_OF_MACHINE = 4;
-/** Machines of a type differ by a tenth, and so do tasks of a job: one that takes so many times as long is slow. */
+/** After so many completed tasks a job's mean run time is taken as usual. */
+const MIN_TASKS_OF_JOB = 3;
+/** After so many compared tasks a machine may count as slow. */
+const MIN_TASKS_OF_MACHINE = 4;
+/** Machines of a type differ by a tenth, and so do tasks of a job: a machine that takes so many times as long is slow. */
 const SLOW_RATIO = 1.6;
 
 /** Learns from completed tasks; a slow machine is marked, and unmarked once its tasks take the usual time again. */
 export class SpeedTracker {
-  /** What tasks really take for each second of their estimate, by class. */
-  private readonly ratios = new Map<string, number>();
+  /** Measured run time by estimated run time, by class. */
+  private readonly runtimeRatios = new Map<string, number>();
 
   constructor(private readonly log: Logger) {}
 
-  /** How long a task of a class runs for each second of its estimate; 1 before anything is known. */
+  /** How long tasks of a class run for each second of their estimate; 1 before any has completed. */
   ratio(className: string): number {
-    return this.ratios.get(className) ?? 1;
+    return this.runtimeRatios.get(className) ?? 1;
   }
 
-  /** A task has completed. */
-  finished({ job, machine, state, stateSince: since, resumed }: Placement, now: number): void {
+  /** A task has completed; `now` is steady time in milliseconds. */
+  finished({ job, machine, state, stateSince, resumed }: Placement, now: number): void {
     const { className, estimateS, checkpointS } = job.spec;
-    // A task that saves may have gone on from where it was stopped, and then says little.
+    // A task that checkpoints may have resumed where it was stopped: its run time says little then.
     if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && resumed)) return;
-    const runMs = now - since;
-    const seen = runMs / 1000 / estimateS;
-    const known = this.ratios.get(className);
-    this.ratios.set(className, known === undefined ? seen : known + (seen - known) * CLASS_WEIGHT);
+    const runMs = now - stateSince;
+    const measured = runMs / 1000 / estimateS;
+    const average = this.runtimeRatios.get(className) ?? measured;
+    this.runtimeRatios.set(className, average + (measured - average) * CLASS_WEIGHT);
     this.compare(job, machine, runMs);
   }
 
-  /** Estimates differ from job to job, so that only tasks of one job tell machines apart. */
+  /** Estimates differ from job to job, so that machines are compared by tasks of the same job only. */
   private compare(job: Job, machine: Machine, runMs: number): void {
     const { completedRuns: runs } = job;
-    const usualMs = runs.count < LEAST_TASKS_OF_JOB ? 0 : runs.totalMs / runs.count;
+    const usualMs = runs.count < MIN_TASKS_OF_JOB ? 0 : runs.totalMs / runs.count;
     runs.count++;
     runs.totalMs += runMs;
     if (usualMs <= 0) return;
     machine.comparedTasks++;
     machine.relativeRunTime += (runMs / usualMs - machine.relativeRunTime) * MACHINE_WEIGHT;
-    const slow = machine.comparedTasks >= LEAST_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
+    const slow = machine.comparedTasks >= MIN_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
     if (slow === machine.slow) return;
     machine.slow = slow;
     const { host, relativeRunTime: relativeRun } = machine;
-    this.log.info({ host, relativeRun }, slow ? "machine is slow" : "machine is not slow any more");
+    this.log.info({ host, relativeRun }, slow ? "machine marked slow" : "machine not slow any more");
   }
 }
--- a/test/large-fleets.test.ts
+++ b/test/large-fleets.test.ts
@@ -6,11 +6,11 @@
 import { checkOperatorSettings } from "../src/config/operator.js";
 import { frameBytes, FrameDecoder } from "../src/peers/framing.js";
 import type { Demand, Frame, MachineSummary } from "../src/peers/messages.js";
-import { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
 import type { Heartbeat } from "../src/wire/index.js";
-import { FakeView, silent, smallType } from "./support/records.js";
+import { FakeView, smallType } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
+import { newShard } from "./support/shard.js";
 
 const MACHINES = 4000;
 const GAP_MS = 500;
@@ -31,8 +31,7 @@
 
 test("late copies of the reports of all machines that left and came back show nothing", () => {
   const view = new FakeView();
-  const types = new Map([[smallType.name, smallType]]);
-  const shard = new Shard(0, 3, 0, testSettings(), () => types, view, silent);
+  const shard = newShard({ shard: 0, termToken: 3, view });
   const of = { shard: 0, type: smallType.name, zone: "north", spot: false, since: 0 };
   const machines = Object.fromEntries(hosts.map((host) => [host, "up"]));
   const come = view.put(keys.machineGroup("all"), { ...of, machines }, 1);
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -133,7 +133,7 @@
   metrics.answered(40);
   for (const reason of REFUSALS) metrics.refused(reason);
   metrics.stopSent(120);
-  metrics.gone(900);
+  metrics.tasksGone(900);
   return metrics.report("node-0");
 }
 
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -107,12 +107,12 @@
   const ROUND_MS = 8;
   const shard = {
     id: 0,
-    wantsRound: true,
+    needsFullRound: true,
     reconcileHeartbeat: () => [],
     unrecordedHosts: () => [],
-    takeFinishedJobs: () => [],
-    takeProgress: () => [],
-    startsFor: () => [],
+    finishedJobs: () => [],
+    taskProgress: () => [],
+    startCommands: () => [],
     tokenAdvanced: () => undefined,
     viewCompleteAsOf: 0,
     isLiveJob: () => true,
@@ -135,17 +135,17 @@
   };
   const gateFigures = { staleMs: Infinity, spacingMs: 1000 };
   const gate = new RenewalGuard(0, gateFigures, new DecisionMetrics(), () => now, silent);
-  const owner = new ShardOwner(
-    shard as unknown as Shard,
-    figures,
-    noState as unknown as StateStoreClient,
-    new FakeView(),
-    new Fleet(silent),
-    () => now,
-    hooks,
-    gate,
-    silent,
-  );
+  const owner = new ShardOwner({
+    shard: shard as unknown as Shard,
+    timings: figures,
+    state: noState as unknown as StateStoreClient,
+    view: new FakeView(),
+    fleet: new Fleet(silent),
+    clock: () => now,
+    callbacks: hooks,
+    renewalGuard: gate,
+    log: silent,
+  });
   const wire = { host: "i-1", addr: "a:1", breed: "small", bank: "north", loaners: false, tenure: 1 };
   const REPORTS = 500;
   for (let i = 0; i < REPORTS; i++) {
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -8,13 +8,12 @@
 import { decideShardAuthority, type ShardAuthority } from "../src/membership/shard-authority.js";
 import { RenewalGuard } from "../src/shards/renewal-guard.js";
 import { DecisionMetrics } from "../src/shards/decision-metrics.js";
-import { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
 import type { WorkerCommand, TaskStatus, Heartbeat } from "../src/wire/index.js";
 import { decideRenewalPermission, LeaseRenewal, type RenewalEvidence } from "../src/workers/lease-renewal.js";
 import { limitCommands } from "../src/workers/heartbeat-reconciliation.js";
-import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
-import { testSettings } from "./support/settings.js";
+import { FakeView, jobSpec } from "./support/records.js";
+import { newShard } from "./support/shard.js";
 
 const STALE_MS = 16_000;
 const held = { held: true, token: 7, leaseLeftMs: 1000, viewAgeMs: 100 } as const;
@@ -149,8 +148,8 @@
   assert.deepEqual(
     lines.map(({ msg, reason }) => [msg, reason]),
     [
-      ["reports are refused", "view_too_old"],
-      ["reports are answered", undefined],
+      ["heartbeats refused", "view_too_old"],
+      ["heartbeats answered", undefined],
     ],
   );
 });
@@ -160,8 +159,7 @@
 test("a shard that could not take in a change counts as behind until it has read everything anew", () => {
   const view = new FakeView();
   view.put(keys.job("req-1"), { spec: jobSpec("req-1"), shard: 0, acceptedAt: 1 }, 1);
-  const types = new Map([[smallType.name, smallType]]);
-  const shard = new Shard(0, 2, 0, testSettings(), () => types, view, silent);
+  const shard = newShard({ shard: 0, termToken: 2, view });
   assert.equal(shard.viewCompleteAsOf, 0);
   const removal = view.remove(keys.job("req-1"), 3);
   const unreadable = {
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -1,17 +1,15 @@
 /** Traces of one shard: records and reports in, commands, writes and summaries out. */
 import assert from "node:assert/strict";
 import { mock, test } from "node:test";
-import { Shard } from "../src/shards/shard.js";
+import type { Shard } from "../src/shards/shard.js";
 import { Machine } from "../src/workers/model.js";
 import type { Completion } from "../src/shards/completion-log.js";
 import { keys } from "../src/state/keys.js";
 import { parseHeartbeat, type WorkerCommand, type Priority, type Write } from "../src/wire/index.js";
-import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
-import { testSettings } from "./support/settings.js";
+import { FakeView, jobSpec } from "./support/records.js";
+import { newShard } from "./support/shard.js";
 import { list, number, traceTests, type Step, type TraceEvent } from "./support/trace.js";
 
-const settings = testSettings();
-
 /** Attempts are written as token+count, so that a trace shows in whose term they began. */
 const attemptText = (attempt: number): string =>
   attempt < 2 ** 20 ? String(attempt) : `${Math.floor(attempt / 2 ** 20)}+${attempt % 2 ** 20}`;
@@ -34,7 +32,6 @@
   let token = 0;
   let shard: Shard | null = null;
   let written: Completion[] = [];
-  const types = new Map([[smallType.name, smallType]]);
 
   const report = (event: TraceEvent): string[] => {
     const parsed = parseHeartbeat({
@@ -58,7 +55,7 @@
     const known = new Set(commands.filter((c) => c.op === "start").map((c) => c.attempt));
     shard!.place(token, now, () => now, now + 1);
     shard!.placeOnMachine(parsed.value.host, token, now);
-    for (const start of shard!.startsFor(parsed.value.host))
+    for (const start of shard!.startCommands(parsed.value.host))
       if (!known.has(start.attempt)) commands.push(start);
     return [`token ${token}`, ...commands.map(commandText)];
   };
@@ -105,7 +102,7 @@
         return change(view.put(keys.machineGroup(name), "nonsense", ++version));
       case "own":
         token = ++version;
-        shard = new Shard(0, token, now, settings, () => types, view, silent);
+        shard = newShard({ shard: 0, termToken: token, termStartedAt: now, view });
         return [`token ${token}`, `recovered ${shard.recovered}`];
       case "cancel":
         return change(view.remove(keys.job(name), ++version));
@@ -132,9 +129,9 @@
         return [];
       }
       case "drain":
-        return [`leaving ${shard!.beginRemoval(words, true).join(" ") || "none"}`];
+        return [`leaving ${shard!.beginRemoval(words, "drain").join(" ") || "none"}`];
       case "write":
-        written = [...shard!.takeFinishedJobs(8), ...shard!.takeProgress(8)];
+        written = [...shard!.finishedJobs(8), ...shard!.taskProgress(8)];
         return written.flatMap((c) => [
           ...c.conditions.map((g) => `if ${g.key} is at ${g.version}`),
           ...c.writes.map(writeText),
@@ -158,7 +155,6 @@
 
 test("a take-over of a thousand machines costs a report a look at its own machine, and each record one reading", () => {
   const MACHINES = 1000;
-  const types = new Map([[smallType.name, smallType]]);
   const view = new FakeView();
   const hosts = Array.from({ length: MACHINES }, (_, i) => `i-${i}`);
   // What an earlier owner has left: full machines, and more waiting than there is room for.
@@ -173,7 +169,7 @@
   }
   const reads = mock.method(view, "list");
   const token = 3;
-  const shard = new Shard(0, token, 0, settings, () => types, view, silent);
+  const shard = newShard({ shard: 0, termToken: token, view });
   const readAtStart = reads.mock.callCount();
   assert.equal(shard.machines.size, MACHINES);
   shard.place(token, 0, () => 0, 1);
@@ -197,7 +193,7 @@
     const parsed = parseHeartbeat({ ...wire, recallS: null, pieces });
     assert.ok(parsed.ok);
     assert.deepEqual(shard.reconcileHeartbeat(parsed.value, i), []);
-    if (shard.wantsRound) shard.place(token, i, () => i, i + 1);
+    if (shard.needsFullRound) shard.place(token, i, () => i, i + 1);
     else shard.placeOnMachine(host, token, i);
   });
   assert.equal(shard.recovered, true);
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -12,7 +12,6 @@
 import type { ShardSummary } from "../../src/peers/messages.js";
 import { CompletionLog, type Completion } from "../../src/shards/completion-log.js";
 import { JobMigrator } from "../../src/shards/job-migrator.js";
-import { Shard } from "../../src/shards/shard.js";
 import type { JsonClient } from "../../src/runtime/json-client.js";
 import { StateStoreClient } from "../../src/state/state-store-client.js";
 import { keys } from "../../src/state/keys.js";
@@ -23,6 +22,7 @@
 import { submission } from "./cluster.js";
 import { FakeView, jobSpec, silent, smallType } from "./records.js";
 import { testSettings } from "./settings.js";
+import { newShard } from "./shard.js";
 import { StateStore } from "./state-service.js";
 
 /** A transaction as it is sent. */
@@ -189,9 +189,11 @@
   state.transactions.length = 0;
   mock.timers.tick(60_000);
   const token = state.view.get(keys.shard(1))!.version;
-  const shard = new Shard(1, token, 0, testSettings(), () => types, state.view, silent);
-  const term = { token: () => token, over: () => false };
-  await new JobMigrator(shard, term, 1000, state.client, state.view, () => 0, silent).migrate("req-1", 0);
+  const shard = newShard({ shard: 1, termToken: token, view: state.view });
+  const term = { currentToken: () => token, isOver: () => false };
+  const parts = { shard, term, state: state.client, view: state.view };
+  const migrator = new JobMigrator({ ...parts, clock: () => 0, retryMs: 1000, log: silent });
+  await migrator.migrate("req-1", 0);
 }
 
 /** Tasks of a small and of a large job complete, and then all of the small one. */
@@ -213,9 +215,9 @@
   };
   complete(small, 0, 2);
   complete(large, CHUNK_TASKS, CHUNK_TASKS + 15);
-  await write(log.progressed(8));
+  await write(log.taskProgress(8));
   complete(small, 1);
-  await write(log.finished(8, () => true));
+  await write(log.finishedJobs(8, () => true));
 }
 
 const summary = (shard: number): ShardSummary => ({
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -4,10 +4,11 @@
 import { chooseJobMigration } from "../src/autoscaling/scaling-policy.js";
 import type { FreeCapacity, ShardSummary, MigrationCandidate } from "../src/peers/messages.js";
 import { QuotaReservations } from "../src/shards/quota-reservations.js";
-import { Shard } from "../src/shards/shard.js";
+import type { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
-import { FakeView, jobSpec, silent, smallType } from "./support/records.js";
+import { FakeView, jobSpec } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
+import { newShard } from "./support/shard.js";
 
 const GONE_MS = 1000;
 
@@ -60,11 +61,11 @@
 
 test("what a job may use elsewhere counts until its last task is surely gone", () => {
   const reservations = new QuotaReservations(GONE_MS);
-  reservations.hold("req-1", { team: "tight", cpus: 4, gpus: 0 });
-  reservations.hold("req-2", { team: "tight", cpus: 2, gpus: 0 });
+  reservations.reserve("req-1", { team: "tight", cpus: 4, gpus: 0 });
+  reservations.reserve("req-2", { team: "tight", cpus: 2, gpus: 0 });
   assert.deepEqual(reservations.usage.get("tight"), { cpus: 6, gpus: 0 });
-  reservations.ended("req-1", 100);
-  reservations.ended("req-1", 900);
+  reservations.jobEnded("req-1", 100);
+  reservations.jobEnded("req-1", 900);
   assert.deepEqual(reservations.expire(100 + GONE_MS), []);
   assert.deepEqual(reservations.expire(101 + GONE_MS), ["req-1"]);
   assert.deepEqual(reservations.usage.get("tight"), { cpus: 2, gpus: 0 });
@@ -75,8 +76,7 @@
   const view = new FakeView();
   const spec = jobSpec("req-1", { team: "capped", tasks: 6, zone: "south" });
   view.put(keys.job("req-1"), { spec, shard: 1, acceptedAt: Date.now() - 60_000 }, 5);
-  const types = new Map([[smallType.name, smallType]]);
-  const shard = new Shard(1, 3, 0, testSettings(), () => types, view, silent);
+  const shard = newShard({ shard: 1, termToken: 3, view });
   return { shard, view };
 }
 
@@ -97,15 +97,14 @@
 test("a new owner goes on counting what has passed on, also where the job ended meanwhile", () => {
   const { view } = cappedShard();
   view.put(keys.quotaReservation(1, "req-9"), { team: "capped", cpus: 3, gpus: 0 }, 6);
-  const types = new Map([[smallType.name, smallType]]);
   const { cancelMs } = testSettings().workers;
-  const shard = new Shard(1, 7, 0, testSettings(), () => types, view, silent);
+  const shard = newShard({ shard: 1, termToken: 7, view });
   assert.equal(shard.beginMigration("req-1", 0), null, "the limit leaves less than the job could use");
   shard.expire(cancelMs);
-  assert.deepEqual(shard.takeProgress(4), [], "its tasks may still be there");
+  assert.deepEqual(shard.taskProgress(4), [], "its tasks may still be there");
   shard.expire(cancelMs + 1);
   assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
-  assert.deepEqual(shard.takeProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-9") }]);
+  assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-9") }]);
 });
 
 test("a job that is told done is counted no longer, and one that is cancelled for as long as its tasks may go on", () => {
@@ -117,7 +116,7 @@
     shard.sync(view, [view.put(keys.quotaReservation(1, id), { team: "capped", cpus: 1, gpus: 0 }, 6)], 0);
     shard.sync(view, [view.put(keys.endedJob(id), { stage, done: 1 }, 7)], 0);
   }
-  assert.deepEqual(shard.takeProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-8") }]);
+  assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-8") }]);
   assert.equal(shard.beginMigration("req-1", 0), null, "the cancelled one counts");
   shard.expire(testSettings().workers.cancelMs + 1);
   assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
@@ -127,8 +126,7 @@
   const { shard, view } = cappedShard();
   const spec = jobSpec("req-1", { team: "capped", tasks: 6 });
   const record = { spec, shard: 0, acceptedAt: Date.now(), mostAtOnce: 2, guest: true };
-  const types = new Map([[smallType.name, smallType]]);
-  const other = new Shard(0, 4, 0, testSettings(), () => types, view, silent);
+  const other = newShard({ shard: 0, termToken: 4, view });
   const change = view.put(keys.job("req-1"), record, 9);
   shard.sync(view, [change], 0);
   other.sync(view, [change], 0);
@@ -140,11 +138,10 @@
 test("a guest of a team without a limit does not pass on once more either", () => {
   const view = new FakeView();
   const spec = jobSpec("req-1", { team: "free", tasks: 6, zone: "south" });
-  const types = new Map([[smallType.name, smallType]]);
   for (const guest of [false, true]) {
     const record = { spec, shard: 1, acceptedAt: Date.now() - 60_000, guest };
     view.put(keys.job("req-1"), record, guest ? 6 : 5);
-    const shard = new Shard(1, 3, 0, testSettings(), () => types, view, silent);
+    const shard = newShard({ shard: 1, termToken: 3, view });
     assert.equal(shard.summary(3, 0).waiting.length, guest ? 0 : 1);
   }
 });
@@ -156,8 +153,7 @@
     view.put(keys.job(spec.id), { spec, shard: 1, acceptedAt: Date.now() - 60_000 }, 5);
   }
   view.put(keys.quotaReservation(1, "req-999"), { team: "capped", cpus: 4, gpus: 0 }, 6);
-  const types = new Map([[smallType.name, smallType]]);
-  const shard = new Shard(1, 3, 0, testSettings(), () => types, view, silent);
+  const shard = newShard({ shard: 1, termToken: 3, view });
   let looks = 0;
   const [first] = shard.jobs.values();
   const { active } = first!;
