--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,9 +1,10 @@
 /** What large queues cost: looks are counted, so that the answers do not depend on the processor. */
 import assert from "node:assert/strict";
-import { mock, test } from "node:test";
+import { describe, mock, test } from "node:test";
 import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
 import type { PlacementInput } from "../src/placement/placement-round.js";
 import { choosePreemptions } from "../src/placement/preemption.js";
+import type { SteadyClock } from "../src/runtime/clock.js";
 import { RenewalGuard } from "../src/shards/renewal-guard.js";
 import { DecisionMetrics } from "../src/shards/decision-metrics.js";
 import { ShardOwner } from "../src/shards/shard-owner.js";
@@ -102,60 +103,69 @@
   assert.ok(resumed.mock.callCount() <= 4 * MACHINES, `${resumed.mock.callCount()} times`);
 });
 
-test("reports lead to whole rounds for a part of the time only, and are served by their own machine's room otherwise", () => {
-  let now = 0;
-  const ROUND_MS = 8;
-  const shard = {
+const ROUND_MS = 8;
+const HEARTBEATS = 500;
+
+/** A shard whose full rounds take time, with what its owner asks of it at a heartbeat. */
+function slowShard(advance: (ms: number) => void) {
+  return {
     id: 0,
     needsFullRound: true,
+    viewCompleteAsOf: 0,
     reconcileHeartbeat: () => [],
     unrecordedHosts: () => [],
     finishedJobs: () => [],
     taskProgress: () => [],
     startCommands: () => [],
     tokenAdvanced: () => undefined,
-    viewCompleteAsOf: 0,
     isLiveJob: () => true,
     resetAttempts: () => undefined,
     place: mock.fn(() => {
-      now += ROUND_MS;
+      advance(ROUND_MS);
       return 0;
     }),
     placeOnMachine: mock.fn(() => 0),
   };
-  const figures = { roundMs: 50, spacingMs: 1000, preemptMs: 1000, quietTicks: 8 };
-  const noState = { txnOps: 8 };
-  const links = { mayPlace: () => true, mayRemoveMachines: () => true };
+}
+
+/** An owner that may act for its shard and writes nothing. */
+function ownerOf(shard: ReturnType<typeof slowShard>, clock: SteadyClock): ShardOwner {
   const authority = { held: true, token: 1, leaseLeftMs: 1000, viewAgeMs: 0 } as const;
-  const hooks = {
-    authority: () => authority,
-    advanceToken: () => undefined,
-    sendSummary: () => undefined,
-    ...links,
-  };
-  const gateFigures = { staleMs: Infinity, spacingMs: 1000 };
-  const gate = new RenewalGuard(0, gateFigures, new DecisionMetrics(), () => now, silent);
-  const owner = new ShardOwner({
+  const renewalTimings = { staleMs: Infinity, spacingMs: 1000 };
+  return new ShardOwner({
     shard: shard as unknown as Shard,
-    timings: figures,
-    state: noState as unknown as StateStoreClient,
+    timings: { roundMs: 50, spacingMs: 1000, preemptMs: 1000, quietTicks: 8 },
+    state: { txnOps: 8 } as unknown as StateStoreClient,
     view: new FakeView(),
     fleet: new Fleet(silent),
-    clock: () => now,
-    callbacks: hooks,
-    renewalGuard: gate,
+    clock,
+    callbacks: {
+      authority: () => authority,
+      advanceToken: () => undefined,
+      sendSummary: () => undefined,
+      mayPlace: () => true,
+      mayRemoveMachines: () => true,
+    },
+    renewalGuard: new RenewalGuard(0, renewalTimings, new DecisionMetrics(), clock, silent),
     log: silent,
   });
-  const wire = { host: "i-1", addr: "a:1", breed: "small", bank: "north", loaners: false, tenure: 1 };
-  const REPORTS = 500;
-  for (let i = 0; i < REPORTS; i++) {
-    now++;
-    const parsed = parseHeartbeat({ ...wire, tick: i, baton: 1, recallS: null, pieces: [] });
-    assert.ok(parsed.ok);
-    owner.tell({ kind: "heartbeat", heartbeat: parsed.value, reply: () => undefined });
-  }
-  const rounds = shard.place.mock.callCount();
-  assert.ok(rounds > 1, "whole rounds are made");
-  assert.ok(rounds * ROUND_MS < now / 4, `${rounds} rounds took ${rounds * ROUND_MS} of ${now} ms`);
-  assert.equal(rounds + shard.placeOnMachine.mock.callCount(), REPORTS);
+}
+
+void describe("shards/round-throttle", () => {
+  test("heartbeats lead to full rounds for a part of the time only, and to placement on their machine otherwise", () => {
+    let now = 0;
+    const shard = slowShard((ms) => (now += ms));
+    const owner = ownerOf(shard, () => now);
+    const machine = { host: "i-1", addr: "a:1", breed: "small", bank: "north", loaners: false, tenure: 1 };
+    for (let tick = 0; tick < HEARTBEATS; tick++) {
+      now++;
+      const parsed = parseHeartbeat({ ...machine, tick, baton: 1, recallS: null, pieces: [] });
+      assert.ok(parsed.ok);
+      owner.tell({ kind: "heartbeat", heartbeat: parsed.value, reply: () => undefined });
+    }
+    const rounds = shard.place.mock.callCount();
+    assert.ok(rounds > 1, "full rounds are made");
+    assert.ok(rounds * ROUND_MS < now / 4, `${rounds} rounds took ${rounds * ROUND_MS} of ${now} ms`);
+    assert.equal(rounds + shard.placeOnMachine.mock.callCount(), HEARTBEATS);
+  });
 });
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -1,11 +1,18 @@
-/** Traces of one shard: records and reports in, commands, writes and summaries out. */
+/** Traces of one shard: records and heartbeats in, commands, writes and summaries out; and what a take-over costs. */
 import assert from "node:assert/strict";
-import { mock, test } from "node:test";
-import type { Shard } from "../src/shards/shard.js";
-import { Machine } from "../src/workers/model.js";
+import { describe, mock, test } from "node:test";
 import type { Completion } from "../src/shards/completion-log.js";
+import type { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
-import { parseHeartbeat, type WorkerCommand, type Priority, type Write } from "../src/wire/index.js";
+import {
+  parseHeartbeat,
+  type Heartbeat,
+  type Priority,
+  type RecordChange,
+  type WorkerCommand,
+  type Write,
+} from "../src/wire/index.js";
+import { Machine } from "../src/workers/model.js";
 import { FakeView, jobSpec } from "./support/records.js";
 import { newShard } from "./support/shard.js";
 import { list, number, traceTests, type Step, type TraceEvent } from "./support/trace.js";
@@ -18,30 +25,134 @@
   return count === undefined ? Number(token) : Number(token) * 2 ** 20 + Number(count);
 };
 
-const commandText = (c: WorkerCommand): string =>
-  `${c.op} ${c.job}/${c.index} #${attemptText(c.attempt)}${c.op === "stop" ? ` grace=${c.graceS}` : ""}`;
-const writeText = (w: Write): string =>
-  "put" in w ? `put ${w.put} ${JSON.stringify(w.value)}` : `remove ${w.remove}`;
+const commandText = (command: WorkerCommand): string => {
+  const { op, job, index, attempt } = command;
+  const grace = command.op === "stop" ? ` grace=${command.graceS}` : "";
+  return `${op} ${job}/${index} #${attemptText(attempt)}${grace}`;
+};
+const writeText = (write: Write): string =>
+  "put" in write ? `put ${write.put} ${JSON.stringify(write.value)}` : `remove ${write.remove}`;
 
-// One case for each event that a trace may hold: read together with the traces.
-// eslint-disable-next-line max-lines-per-function
-function newScenario(): Step {
-  const view = new FakeView();
-  let version = 0;
-  let now = 0;
-  let token = 0;
-  let shard: Shard | null = null;
-  let written: Completion[] = [];
-
-  const report = (event: TraceEvent): string[] => {
-    const parsed = parseHeartbeat({
-      host: event.words[0],
-      addr: "10.0.0.9:9000",
-      breed: "small",
+/** A heartbeat as a worker sends it; a machine of the small type unless it says otherwise. */
+function workerHeartbeat(fields: Record<string, unknown>): ReturnType<typeof parseHeartbeat> {
+  const machine = { addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: false };
+  return parseHeartbeat({ ...machine, tenure: 1, baton: 0, recallS: null, pieces: [], ...fields });
+}
+
+function machineGroup(shard: number, zone: string, machines: Record<string, string>): object {
+  return { shard, type: "small", zone, spot: false, since: 0, machines };
+}
+
+/** One shard and its records, changed by the events of a trace. */
+class ShardScenario {
+  private readonly view = new FakeView();
+  private version = 0;
+  private now = 0;
+  private token = 0;
+  private shardOrNone: Shard | null = null;
+  private written: Completion[] = [];
+
+  private get shard(): Shard {
+    assert.ok(this.shardOrNone !== null, "a trace takes the shard over before it uses it");
+    return this.shardOrNone;
+  }
+
+  private readonly handlers: Record<string, (name: string, event: TraceEvent) => string[]> = {
+    at: (seconds) => {
+      this.now = Number(seconds) * 1000;
+      return [];
+    },
+    job: (id, event) => this.putJob(id, event),
+    machine: (host, event) => this.putMachine(host, event),
+    corrupt: (host) => this.apply(this.view.put(keys.machineGroup(host), "nonsense", ++this.version)),
+    "take-over": () => this.takeOver(),
+    cancel: (id) => this.apply(this.view.remove(keys.job(id), ++this.version)),
+    "cancel-confirmed": (id) => {
+      this.shard.cancelled(id, this.now);
+      return [];
+    },
+    reset: () => {
+      this.shard.sync(this.view, null, this.now);
+      return [];
+    },
+    returned: (host) => this.apply(this.view.remove(keys.machineGroup(host), ++this.version)),
+    heartbeat: (host, event) => this.heartbeat(host, event),
+    expire: () => {
+      this.shard.expire(this.now);
+      return [`recovered ${this.shard.recovered}`];
+    },
+    tick: () => {
+      this.shard.drainInterrupted();
+      return [];
+    },
+    cordon: (targetShard, event) => this.cordon(Number(targetShard), event),
+    drain: (_, { words }) => [`selected ${this.shard.beginRemoval(words, "drain").join(" ") || "none"}`],
+    write: () => this.write(),
+    durable: () => {
+      for (const completion of this.written) completion.onDurable();
+      return [];
+    },
+    lost: () => {
+      for (const completion of this.written) completion.onJobGone();
+      return [];
+    },
+    demand: () =>
+      this.shard
+        .summary(this.token, this.now)
+        .demand.map(({ count, cpus }) => `${count} tasks of ${cpus} cpus`),
+    machines: () =>
+      this.shard
+        .summary(this.token, this.now)
+        .machines.map(({ host, state, emptyReports }) => `${host} ${state} ${emptyReports}`),
+  };
+
+  /** Carries out one event and returns the lines that came of it. */
+  step(event: TraceEvent): string[] {
+    const handler = this.handlers[event.verb];
+    if (handler === undefined) throw new Error(`no such event as ${event.verb}`);
+    return handler(event.words[0] ?? "", event);
+  }
+
+  private apply(change: RecordChange): string[] {
+    this.shardOrNone?.sync(this.view, [change], this.now);
+    return [];
+  }
+
+  private putJob(id: string, event: TraceEvent): string[] {
+    const spec = jobSpec(id, {
+      team: event.options.get("team") ?? "free",
+      tasks: number(event, "tasks", 1),
+      cpus: number(event, "cpus", 1),
+      priority: (event.options.get("priority") ?? "normal") as Priority,
+      spread: event.options.has("spread"),
+      oneZone: event.options.has("one-zone"),
+      checkpointS: number(event, "checkpoint", 0),
+      saveS: number(event, "save", 0),
+    });
+    const record = { spec, shard: 0, acceptedAt: ++this.version };
+    return this.apply(this.view.put(keys.job(id), record, this.version));
+  }
+
+  private putMachine(host: string, event: TraceEvent): string[] {
+    const zone = event.options.get("zone") ?? "north";
+    const stage = event.options.has("booting") ? "booting" : "up";
+    const group = machineGroup(number(event, "shard", 0), zone, { [host]: stage });
+    return this.apply(this.view.put(keys.machineGroup(host), group, ++this.version));
+  }
+
+  private takeOver(): string[] {
+    this.token = ++this.version;
+    const { token: termToken, now: termStartedAt, view } = this;
+    this.shardOrNone = newShard({ shard: 0, termToken, termStartedAt, view });
+    return [`token ${this.token}`, `recovered ${this.shard.recovered}`];
+  }
+
+  private heartbeat(host: string, event: TraceEvent): string[] {
+    const parsed = workerHeartbeat({
+      host,
       bank: event.options.get("zone") ?? "north",
-      loaners: false,
-      tenure: number(event, "session", 1),
-      tick: number(event, "seq", 1),
+      tenure: number(event, "epoch", 1),
+      tick: number(event, "sequence", 1),
       baton: number(event, "token", 0),
       recallS: event.options.has("notice") ? number(event, "notice", 0) : null,
       pieces: list(event, "tasks").map((text) => {
@@ -49,156 +160,98 @@
         return { piece, try: attemptOf(attempt), stage, cause };
       }),
     });
-    if (!parsed.ok) return [`refused: ${parsed.error}`];
-    const commands = shard!.reconcileHeartbeat(parsed.value, now);
+    return parsed.ok ? this.respond(parsed.value) : [`refused: ${parsed.error}`];
+  }
+
+  private respond(heartbeat: Heartbeat): string[] {
+    const { shard, token, now } = this;
+    const commands = shard.reconcileHeartbeat(heartbeat, now);
     if (commands === null) return ["ignored"];
-    const known = new Set(commands.filter((c) => c.op === "start").map((c) => c.attempt));
-    shard!.place(token, now, () => now, now + 1);
-    shard!.placeOnMachine(parsed.value.host, token, now);
-    for (const start of shard!.startCommands(parsed.value.host))
-      if (!known.has(start.attempt)) commands.push(start);
+    const starts = commands.filter(({ op }) => op === "start");
+    const startedAttempts = new Set(starts.map(({ attempt }) => attempt));
+    shard.place(token, now, () => now, now + 1);
+    shard.placeOnMachine(heartbeat.host, token, now);
+    for (const start of shard.startCommands(heartbeat.host))
+      if (!startedAttempts.has(start.attempt)) commands.push(start);
     return [`token ${token}`, ...commands.map(commandText)];
-  };
+  }
 
-  // eslint-disable-next-line max-lines-per-function, complexity -- one case an event
-  return (event) => {
-    const { verb, words } = event;
-    const name = words[0] ?? "";
-    const change = (made: ReturnType<FakeView["put"]>): string[] => {
-      shard?.sync(view, [made], now);
-      return [];
-    };
-    switch (verb) {
-      case "at":
-        now = Number(name) * 1000;
-        return [];
-      case "job": {
-        const spec = jobSpec(name, {
-          team: event.options.get("team") ?? "free",
-          tasks: number(event, "tasks", 1),
-          cpus: number(event, "cpus", 1),
-          priority: (event.options.get("priority") ?? "normal") as Priority,
-          spread: event.options.has("spread"),
-          oneZone: event.options.has("together"),
-          checkpointS: number(event, "checkpoint", 0),
-          saveS: number(event, "save", 0),
-        });
-        return change(view.put(keys.job(name), { spec, shard: 0, acceptedAt: ++version }, version));
-      }
-      case "machine": {
-        const zone = event.options.get("zone") ?? "north";
-        const machines = { [name]: event.options.has("booting") ? "booting" : "up" };
-        const record = {
-          shard: number(event, "shard", 0),
-          type: "small",
-          zone,
-          spot: false,
-          since: 0,
-          machines,
-        };
-        return change(view.put(keys.machineGroup(name), record, ++version));
-      }
-      case "garble":
-        return change(view.put(keys.machineGroup(name), "nonsense", ++version));
-      case "own":
-        token = ++version;
-        shard = newShard({ shard: 0, termToken: token, termStartedAt: now, view });
-        return [`token ${token}`, `recovered ${shard.recovered}`];
-      case "cancel":
-        return change(view.remove(keys.job(name), ++version));
-      case "told-cancelled":
-        shard!.cancelled(name, now);
-        return [];
-      case "reset":
-        shard!.sync(view, null, now);
-        return [];
-      case "returned":
-        return change(view.remove(keys.machineGroup(name), ++version));
-      case "report":
-        return report(event);
-      case "expire":
-        shard!.expire(now);
-        return [`recovered ${shard!.recovered}`];
-      case "tick":
-        shard!.drainInterrupted();
-        return [];
-      case "cordon": {
-        const demand = { cpus: 1, gpus: 0, memoryGb: 1, types: [], zone: "", spot: true, count: 1 };
-        const priority = event.options.get("priority") ?? "normal";
-        shard!.cordon(Number(name), { ...demand, priority }, now);
-        return [];
-      }
-      case "drain":
-        return [`leaving ${shard!.beginRemoval(words, "drain").join(" ") || "none"}`];
-      case "write":
-        written = [...shard!.finishedJobs(8), ...shard!.taskProgress(8)];
-        return written.flatMap((c) => [
-          ...c.conditions.map((g) => `if ${g.key} is at ${g.version}`),
-          ...c.writes.map(writeText),
-        ]);
-      case "durable":
-        for (const completion of written) completion.onDurable();
-        return [];
-      case "lost":
-        for (const completion of written) completion.onJobGone();
-        return [];
-      case "demand":
-        return shard!.summary(token, now).demand.map((d) => `${d.count} tasks of ${d.cpus} cpus`);
-      case "machines":
-        return shard!.summary(token, now).machines.map((m) => `${m.host} ${m.state} ${m.emptyReports}`);
-    }
-    throw new Error(`no such event as ${verb}`);
-  };
+  private cordon(targetShard: number, event: TraceEvent): string[] {
+    const demand = { cpus: 1, gpus: 0, memoryGb: 1, types: [], zone: "", spot: true, count: 1 };
+    const priority = event.options.get("priority") ?? "normal";
+    this.shard.cordon(targetShard, { ...demand, priority }, this.now);
+    return [];
+  }
+
+  private write(): string[] {
+    this.written = [...this.shard.finishedJobs(8), ...this.shard.taskProgress(8)];
+    return this.written.flatMap(({ conditions, writes }) => [
+      ...conditions.map(({ key, version }) => `if ${key} is at ${version}`),
+      ...writes.map(writeText),
+    ]);
+  }
 }
 
-traceTests("shard", newScenario);
-
-test("a take-over of a thousand machines costs a report a look at its own machine, and each record one reading", () => {
-  const MACHINES = 1000;
-  const view = new FakeView();
-  const hosts = Array.from({ length: MACHINES }, (_, i) => `i-${i}`);
-  // What an earlier owner has left: full machines, and more waiting than there is room for.
-  for (let g = 0; g < MACHINES; g += 50) {
-    const machines = Object.fromEntries(hosts.slice(g, g + 50).map((host) => [host, "up"]));
-    const record = { shard: 0, type: "small", zone: "north", spot: false, since: 0, machines };
-    view.put(keys.machineGroup(`g-${g}`), record, 1);
+function newScenario(): Step {
+  const scenario = new ShardScenario();
+  return (event) => scenario.step(event);
+}
+
+void describe("shards/shard", () => {
+  traceTests("shard", newScenario);
+});
+
+const MACHINES = 1000;
+const GROUP_SIZE = 50;
+const JOBS = 50;
+const TASKS_PER_JOB = 100;
+const TASKS_PER_MACHINE = 4;
+
+/** What an earlier owner has left: full machines, and more waiting tasks than there is capacity for. */
+function putFullShard(view: FakeView, hosts: string[]): void {
+  for (let first = 0; first < MACHINES; first += GROUP_SIZE) {
+    const members = hosts.slice(first, first + GROUP_SIZE);
+    const machines = Object.fromEntries(members.map((host) => [host, "up"]));
+    view.put(keys.machineGroup(`g-${first}`), machineGroup(0, "north", machines), 1);
   }
-  for (let j = 0; j < 50; j++) {
-    const spec = jobSpec(`req-${j}`, { tasks: 100 });
-    view.put(keys.job(`req-${j}`), { spec, shard: 0, acceptedAt: 1 }, 2);
+  for (let i = 0; i < JOBS; i++) {
+    const spec = jobSpec(`req-${i}`, { tasks: TASKS_PER_JOB });
+    view.put(keys.job(spec.id), { spec, shard: 0, acceptedAt: 1 }, 2);
   }
-  const reads = mock.method(view, "list");
-  const token = 3;
-  const shard = newShard({ shard: 0, termToken: token, view });
-  const readAtStart = reads.mock.callCount();
-  assert.equal(shard.machines.size, MACHINES);
-  shard.place(token, 0, () => 0, 1);
-  const looks = mock.method(Machine.prototype, "usedResources");
-  hosts.forEach((host, i) => {
-    const pieces = [0, 1, 2, 3].map((k) => ({
-      piece: `req-${Math.floor((4 * i + k) / 100)}/${(4 * i + k) % 100}`,
-      try: 1,
-      stage: "running",
-    }));
-    const wire = {
-      host,
-      addr: "a:1",
-      breed: "small",
-      bank: "north",
-      loaners: false,
-      tenure: 1,
-      tick: 2,
-      baton: token,
-    };
-    const parsed = parseHeartbeat({ ...wire, recallS: null, pieces });
-    assert.ok(parsed.ok);
-    assert.deepEqual(shard.reconcileHeartbeat(parsed.value, i), []);
-    if (shard.needsFullRound) shard.place(token, i, () => i, i + 1);
-    else shard.placeOnMachine(host, token, i);
+}
+
+function runningTasks(machineIndex: number): object[] {
+  return Array.from({ length: TASKS_PER_MACHINE }, (_, i) => {
+    const task = TASKS_PER_MACHINE * machineIndex + i;
+    const piece = `req-${Math.floor(task / TASKS_PER_JOB)}/${task % TASKS_PER_JOB}`;
+    return { piece, try: 1, stage: "running" };
+  });
+}
+
+void describe("shards/shard: cost of a take-over", () => {
+  test("each heartbeat costs a look at its own machine, and each record is read once", () => {
+    const view = new FakeView();
+    const hosts = Array.from({ length: MACHINES }, (_, i) => `i-${i}`);
+    putFullShard(view, hosts);
+    const listings = mock.method(view, "list");
+    const token = 3;
+    const shard = newShard({ shard: 0, termToken: token, view });
+    const listingsAtStart = listings.mock.callCount();
+    assert.equal(shard.machines.size, MACHINES);
+    shard.place(token, 0, () => 0, 1);
+    const looks = mock.method(Machine.prototype, "usedResources");
+    hosts.forEach((host, i) => {
+      const heartbeat = { host, addr: "a:1", tick: 2, baton: token, pieces: runningTasks(i) };
+      const parsed = workerHeartbeat(heartbeat);
+      assert.ok(parsed.ok);
+      assert.deepEqual(shard.reconcileHeartbeat(parsed.value, i), []);
+      if (shard.needsFullRound) shard.place(token, i, () => i, i + 1);
+      else shard.placeOnMachine(host, token, i);
+    });
+    assert.equal(shard.recovered, true);
+    assert.ok(looks.mock.callCount() <= 2 * MACHINES, `${looks.mock.callCount()} looks at machines`);
+    assert.equal(listings.mock.callCount(), listingsAtStart);
+    assert.ok(listingsAtStart <= 6, `${listingsAtStart} listings of the records`);
+    mock.restoreAll();
   });
-  assert.equal(shard.recovered, true);
-  assert.ok(looks.mock.callCount() <= 2 * MACHINES, `${looks.mock.callCount()} looks at machines`);
-  assert.equal(reads.mock.callCount(), readAtStart);
-  assert.ok(readAtStart <= 6, `${readAtStart} readings of the records`);
-  mock.restoreAll();
 });
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -1,16 +1,18 @@
 /** Jobs that pass to another shard: who is chosen, on what terms, and what their own shard goes on counting. */
 import assert from "node:assert/strict";
-import { test } from "node:test";
+import { describe, test } from "node:test";
 import { chooseJobMigration } from "../src/autoscaling/scaling-policy.js";
+import type { JobRecord } from "../src/jobs/job-records.js";
 import type { FreeCapacity, ShardSummary, MigrationCandidate } from "../src/peers/messages.js";
 import { QuotaReservations } from "../src/shards/quota-reservations.js";
 import type { Shard } from "../src/shards/shard.js";
 import { keys } from "../src/state/keys.js";
+import type { JobSpec } from "../src/wire/index.js";
 import { FakeView, jobSpec } from "./support/records.js";
 import { testSettings } from "./support/settings.js";
 import { newShard } from "./support/shard.js";
 
-const GONE_MS = 1000;
+const TASK_EXPIRY_MS = 1000;
 
 function summary(shard: number, over: Partial<ShardSummary>): ShardSummary {
   const load = { up: 0, empty: 0, cpus: 0, used: 0, waiting: 0 };
@@ -59,105 +61,118 @@
   assert.equal(chooseJobMigration([giver, undefined]), null);
 });
 
-test("what a job may use elsewhere counts until its last task is surely gone", () => {
-  const reservations = new QuotaReservations(GONE_MS);
-  reservations.reserve("req-1", { team: "tight", cpus: 4, gpus: 0 });
-  reservations.reserve("req-2", { team: "tight", cpus: 2, gpus: 0 });
-  assert.deepEqual(reservations.usage.get("tight"), { cpus: 6, gpus: 0 });
-  reservations.jobEnded("req-1", 100);
-  reservations.jobEnded("req-1", 900);
-  assert.deepEqual(reservations.expire(100 + GONE_MS), []);
-  assert.deepEqual(reservations.expire(101 + GONE_MS), ["req-1"]);
-  assert.deepEqual(reservations.usage.get("tight"), { cpus: 2, gpus: 0 });
+void describe("shards/quota-reservations", () => {
+  test("a reservation counts until the job's last task is surely gone", () => {
+    const reservations = new QuotaReservations(TASK_EXPIRY_MS);
+    reservations.reserve("req-1", { team: "tight", cpus: 4, gpus: 0 });
+    reservations.reserve("req-2", { team: "tight", cpus: 2, gpus: 0 });
+    assert.deepEqual(reservations.usage.get("tight"), { cpus: 6, gpus: 0 });
+    reservations.jobEnded("req-1", 100);
+    reservations.jobEnded("req-1", 900);
+    assert.deepEqual(reservations.expire(100 + TASK_EXPIRY_MS), []);
+    assert.deepEqual(reservations.expire(101 + TASK_EXPIRY_MS), ["req-1"]);
+    assert.deepEqual(reservations.usage.get("tight"), { cpus: 2, gpus: 0 });
+  });
 });
 
-/** A shard of a team with a limit of four processors, one machine, and a job of six tasks that cannot run there. */
+const SHARD = 1;
+const TOKEN = 3;
+const WAITED_MS = 60_000;
+
+/** The record of a job of a team with a limit of four processors, which may run in one zone only. */
+function waitingJobRecord(over: Partial<JobSpec>, fields: Partial<JobRecord> = {}): JobRecord {
+  const spec = jobSpec("req-1", { team: "capped", tasks: 6, zone: "south", ...over });
+  return { spec, shard: SHARD, acceptedAt: Date.now() - WAITED_MS, ...fields };
+}
+
+/** A shard without machines, and a job of six tasks that waits there. */
 function cappedShard(): { shard: Shard; view: FakeView } {
   const view = new FakeView();
-  const spec = jobSpec("req-1", { team: "capped", tasks: 6, zone: "south" });
-  view.put(keys.job("req-1"), { spec, shard: 1, acceptedAt: Date.now() - 60_000 }, 5);
-  const shard = newShard({ shard: 1, termToken: 3, view });
-  return { shard, view };
+  view.put(keys.job("req-1"), waitingJobRecord({}), 5);
+  return { shard: newShard({ shard: SHARD, termToken: TOKEN, view }), view };
 }
 
-test("a job passes on with as many tasks at once as its team's limit leaves, and its shard counts them", () => {
-  const { shard } = cappedShard();
-  assert.equal(shard.summary(3, 0).waiting[0]?.job, "req-1");
-  const prepared = shard.beginMigration("req-1", 0);
-  assert.ok(prepared !== null, "it may pass on");
-  assert.equal(prepared.terms.maxParallelTasks, 4);
-  assert.deepEqual(prepared.terms.reservation, { team: "capped", cpus: 4, gpus: 0 });
-  assert.equal(prepared.terms.migratedIn, true, "it goes to a shard of another team");
-  assert.equal(shard.beginMigration("req-1", 0), null, "not twice");
-  assert.deepEqual(shard.summary(3, 0).waiting, []);
-  shard.migrationFailed(prepared.job);
-  assert.equal(shard.summary(3, 0).waiting[0]?.job, "req-1", "it may pass later");
-});
+void describe("shards/shard: job migration", () => {
+  test("a job migrates with as many parallel tasks as its team's quota leaves, and its shard reserves them", () => {
+    const { shard } = cappedShard();
+    assert.equal(shard.summary(TOKEN, 0).waiting[0]?.job, "req-1");
+    const prepared = shard.beginMigration("req-1", 0);
+    assert.ok(prepared !== null, "it may be migrated");
+    assert.equal(prepared.terms.maxParallelTasks, 4);
+    assert.deepEqual(prepared.terms.reservation, { team: "capped", cpus: 4, gpus: 0 });
+    assert.equal(prepared.terms.migratedIn, true, "it goes to a shard of another team");
+    assert.equal(shard.beginMigration("req-1", 0), null, "not twice");
+    assert.deepEqual(shard.summary(TOKEN, 0).waiting, []);
+    shard.migrationFailed(prepared.job);
+    assert.equal(shard.summary(TOKEN, 0).waiting[0]?.job, "req-1", "it may be migrated later");
+  });
 
-test("a new owner goes on counting what has passed on, also where the job ended meanwhile", () => {
-  const { view } = cappedShard();
-  view.put(keys.quotaReservation(1, "req-9"), { team: "capped", cpus: 3, gpus: 0 }, 6);
-  const { cancelMs } = testSettings().workers;
-  const shard = newShard({ shard: 1, termToken: 7, view });
-  assert.equal(shard.beginMigration("req-1", 0), null, "the limit leaves less than the job could use");
-  shard.expire(cancelMs);
-  assert.deepEqual(shard.taskProgress(4), [], "its tasks may still be there");
-  shard.expire(cancelMs + 1);
-  assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
-  assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-9") }]);
-});
+  test("a new owner goes on reserving for a migrated job, also where the job has ended meanwhile", () => {
+    const { view } = cappedShard();
+    view.put(keys.quotaReservation(SHARD, "req-9"), { team: "capped", cpus: 3, gpus: 0 }, 6);
+    const { cancelMs } = testSettings().workers;
+    const shard = newShard({ shard: SHARD, termToken: 7, view });
+    assert.equal(shard.beginMigration("req-1", 0), null, "the quota leaves less than the job could use");
+    shard.expire(cancelMs);
+    assert.deepEqual(shard.taskProgress(4), [], "its tasks may still be running");
+    shard.expire(cancelMs + 1);
+    assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
+    assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(SHARD, "req-9") }]);
+  });
 
-test("a job that is told done is counted no longer, and one that is cancelled for as long as its tasks may go on", () => {
-  const { view, shard } = cappedShard();
-  for (const [id, stage] of [
-    ["req-8", "done"],
-    ["req-9", "cancelled"],
-  ] as const) {
-    shard.sync(view, [view.put(keys.quotaReservation(1, id), { team: "capped", cpus: 1, gpus: 0 }, 6)], 0);
-    shard.sync(view, [view.put(keys.endedJob(id), { stage, done: 1 }, 7)], 0);
-  }
-  assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(1, "req-8") }]);
-  assert.equal(shard.beginMigration("req-1", 0), null, "the cancelled one counts");
-  shard.expire(testSettings().workers.cancelMs + 1);
-  assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
+  test("the reservation of a done job ends at once, that of a cancelled job when its tasks have surely ended", () => {
+    const { view, shard } = cappedShard();
+    for (const [id, stage] of [
+      ["req-8", "done"],
+      ["req-9", "cancelled"],
+    ] as const) {
+      const reservation = { team: "capped", cpus: 1, gpus: 0 };
+      shard.sync(view, [view.put(keys.quotaReservation(SHARD, id), reservation, 6)], 0);
+      shard.sync(view, [view.put(keys.endedJob(id), { stage, done: 1 }, 7)], 0);
+    }
+    assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(SHARD, "req-8") }]);
+    assert.equal(shard.beginMigration("req-1", 0), null, "the cancelled one counts");
+    shard.expire(testSettings().workers.cancelMs + 1);
+    assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
+  });
 });
 
-test("a shard gives up a job whose record names another, and the other takes it on its terms", () => {
-  const { shard, view } = cappedShard();
-  const spec = jobSpec("req-1", { team: "capped", tasks: 6 });
-  const record = { spec, shard: 0, acceptedAt: Date.now(), mostAtOnce: 2, guest: true };
-  const other = newShard({ shard: 0, termToken: 4, view });
-  const change = view.put(keys.job("req-1"), record, 9);
-  shard.sync(view, [change], 0);
-  other.sync(view, [change], 0);
-  assert.equal(shard.jobs.get("req-1"), undefined);
-  assert.equal(other.jobs.get("req-1")?.startableTasks, 2);
-  assert.deepEqual(other.summary(4, 0).waiting, [], "a guest does not pass on once more");
-});
+void describe("shards/shard: migrated jobs", () => {
+  test("a shard drops a job whose record names another shard, which takes it on the terms of the record", () => {
+    const { shard, view } = cappedShard();
+    const target = newShard({ shard: 0, termToken: 4, view });
+    const spec = jobSpec("req-1", { team: "capped", tasks: 6 });
+    const record = { spec, shard: 0, acceptedAt: Date.now(), mostAtOnce: 2, guest: true };
+    const change = view.put(keys.job("req-1"), record, 9);
+    shard.sync(view, [change], 0);
+    target.sync(view, [change], 0);
+    assert.equal(shard.jobs.get("req-1"), undefined);
+    assert.equal(target.jobs.get("req-1")?.startableTasks, 2);
+    assert.deepEqual(target.summary(4, 0).waiting, [], "a migrated job does not migrate again");
+  });
 
-test("a guest of a team without a limit does not pass on once more either", () => {
-  const view = new FakeView();
-  const spec = jobSpec("req-1", { team: "free", tasks: 6, zone: "south" });
-  for (const guest of [false, true]) {
-    const record = { spec, shard: 1, acceptedAt: Date.now() - 60_000, guest };
-    view.put(keys.job("req-1"), record, guest ? 6 : 5);
-    const shard = newShard({ shard: 1, termToken: 3, view });
-    assert.equal(shard.summary(3, 0).waiting.length, guest ? 0 : 1);
-  }
-});
+  test("a migrated job of a team without a limit does not migrate again either", () => {
+    const view = new FakeView();
+    for (const guest of [false, true]) {
+      view.put(keys.job("req-1"), waitingJobRecord({ team: "free" }, { guest }), guest ? 6 : 5);
+      const shard = newShard({ shard: SHARD, termToken: TOKEN, view });
+      assert.equal(shard.summary(TOKEN, 0).waiting.length, guest ? 0 : 1);
+    }
+  });
 
-test("which jobs may pass on is found in one look at all jobs and machines, however many wait", () => {
-  const view = new FakeView();
-  for (let i = 0; i < 200; i++) {
-    const spec = jobSpec(`req-${i}`, { team: "capped", tasks: 6, zone: "south", cpus: 0.5 + i / 1000 });
-    view.put(keys.job(spec.id), { spec, shard: 1, acceptedAt: Date.now() - 60_000 }, 5);
-  }
-  view.put(keys.quotaReservation(1, "req-999"), { team: "capped", cpus: 4, gpus: 0 }, 6);
-  const shard = newShard({ shard: 1, termToken: 3, view });
-  let looks = 0;
-  const [first] = shard.jobs.values();
-  const { active } = first!;
-  Object.defineProperty(first, "active", { get: () => (looks++, active) });
-  assert.deepEqual(shard.summary(3, 0).waiting, [], "the team is at its limit");
-  assert.ok(looks < 20, `${looks} looks at one job`);
+  test("migration candidates are found in one look at all jobs and machines, however many jobs wait", () => {
+    const view = new FakeView();
+    for (let i = 0; i < 200; i++) {
+      const record = waitingJobRecord({ id: `req-${i}`, cpus: 0.5 + i / 1000 });
+      view.put(keys.job(record.spec.id), record, 5);
+    }
+    view.put(keys.quotaReservation(SHARD, "req-999"), { team: "capped", cpus: 4, gpus: 0 }, 6);
+    const shard = newShard({ shard: SHARD, termToken: TOKEN, view });
+    let looks = 0;
+    const [first] = shard.jobs.values();
+    const { active } = first!;
+    Object.defineProperty(first, "active", { get: () => (looks++, active) });
+    assert.deepEqual(shard.summary(TOKEN, 0).waiting, [], "the team is at its limit");
+    assert.ok(looks < 20, `${looks} looks at one job`);
+  });
 });
