--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -110,10 +110,27 @@
 
   private makeOwnedShard(id: number, token: number): OwnedShard {
     const { settings, timings, state, replica, fleet, machineTypes, metrics, clock, log } = this.dependencies;
-    const shard = new Shard(id, token, clock(), settings, machineTypes, replica, log, metrics);
-    const callbacks = this.ownerCallbacks(id, () => owned);
-    const guard = new RenewalGuard(id, timings, metrics, clock, log);
-    const owner = new ShardOwner(shard, timings, state, replica, fleet, clock, callbacks, guard, log);
+    const shard = new Shard({
+      shard: id,
+      termToken: token,
+      termStartedAt: clock(),
+      settings,
+      types: machineTypes,
+      view: replica,
+      log,
+      metrics,
+    });
+    const owner = new ShardOwner({
+      shard,
+      timings,
+      state,
+      view: replica,
+      fleet,
+      clock,
+      callbacks: this.ownerCallbacks(id, () => owned),
+      renewalGuard: new RenewalGuard(id, timings, metrics, clock, log),
+      log,
+    });
     const owned: OwnedShard = { owner, token };
     return owned;
   }
