--- a/src/shards/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -14,8 +14,8 @@
   onDurable(): void;
   /** To be called if the job's record turned out to be gone: it was cancelled first. */
   onJobGone(): void;
-  /** The job whose record the conditions name; empty where they name none. */
-  job: string;
+  /** The job whose record the conditions name; null where there are none. */
+  job: string | null;
 }
 
 /** Completed tasks of one job that are written with its page. */
@@ -123,7 +123,7 @@
 
   private completePage(page: number, entries: PageEntry[]): Completion {
     return {
-      job: "",
+      job: null,
       conditions: [],
       writes: [{ put: keys.completedTasksPage(this.shard, page), value: this.progress.value(page) }],
       onDurable: () => {
@@ -135,7 +135,7 @@
 
   private removeStale(stale: string[]): Completion {
     return {
-      job: "",
+      job: null,
       conditions: [],
       writes: stale.map((key) => ({ remove: key })),
       onDurable: () => {
--- a/src/shards/completion-writer.ts
+++ b/src/shards/completion-writer.ts
@@ -89,6 +89,8 @@
 
   /** The job's record is not as it was known: it was ended by another controller, or by an earlier try of this owner. */
   private async resolveCompletion(completion: Completion): Promise<void> {
-    if ((await this.dependencies.state.read(keys.job(completion.job))) === null) completion.onJobGone();
+    const { job } = completion;
+    if (job === null) return;
+    if ((await this.dependencies.state.read(keys.job(job))) === null) completion.onJobGone();
   }
 }
--- a/src/shards/job-migrator.ts
+++ b/src/shards/job-migrator.ts
@@ -75,11 +75,11 @@
     return writes;
   }
 
-  /** Tries the transaction until its outcome is known, or the owner's term is over. */
+  /** Tries the transaction until its outcome is known, or the owner's term has ended. */
   private async commit(job: Job, targetShard: number, transaction: MigrationTransaction): Promise<void> {
     const { shard, term, retryMs, log } = this.dependencies;
     let outcome = await this.tryCommit(job, transaction);
-    while (!term.isOver()) {
+    while (!term.hasEnded()) {
       if (outcome === "rejected") shard.migrationFailed(job);
       if (outcome === "record_changed")
         log.info({ job: job.spec.id, shard: shard.id, to: targetShard }, "job migrated");
--- a/src/shards/machine-removal.ts
+++ b/src/shards/machine-removal.ts
@@ -33,7 +33,7 @@
 
   /**
    * Marks machines in the records before anyone acts on their removal: a later owner must not place on them either.
-   * Replies with the hosts that were removed for sure.
+   * Replies with the hosts whose records are changed for sure.
    */
   async remove(request: RemovalRequest, reply: (hosts: string[]) => void): Promise<void> {
     const { shard, term } = this.dependencies;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Whether the machines were removed for sure. */
+  /** Whether the change is durable for sure; where that is unknown, it is resolved later. */
   private async commit(token: number, { conditions, writes, hosts }: FleetChange): Promise<boolean> {
     const { shard, state, log } = this.dependencies;
     const ownership = { key: keys.shard(shard.id), version: token };
@@ -102,8 +102,8 @@
     const group = readMachineGroup(entry?.value);
     // Removed or transferred: the watch shows that, and it is followed.
     if (entry === null || group?.shard !== shard.id) return true;
-    // Once the term is over, the removal is of no concern to whoever owns the shard now.
-    if (token === null) return term.isOver();
+    // Once the term has ended, the removal is of no concern to whoever owns the shard now.
+    if (token === null) return term.hasEnded();
     if (!(await this.rewriteGroup(token, { key, version: entry.version }, group))) return false;
     // A machine that was marked for removal after all stays so by its record.
     shard.cancelRemoval(hosts.filter((host) => host in group.machines));
--- a/src/shards/owner-term.ts
+++ b/src/shards/owner-term.ts
@@ -7,13 +7,13 @@
   /** The shard's fencing token; null if the owner may not act for the shard now. */
   currentToken(): number | null;
   /** Whether another owner has taken over: nothing that was begun in this term is retried any more. */
-  isOver(): boolean;
+  hasEnded(): boolean;
 }
 
 /** The term of an owner in this process. */
 export class ShardTerm implements OwnerTerm {
   private lastToken: number | null = null;
-  private over = false;
+  private ended = false;
 
   constructor(
     private readonly shard: Shard,
@@ -27,13 +27,13 @@
     return authority.token;
   }
 
-  isOver(): boolean {
-    return this.over;
+  hasEnded(): boolean {
+    return this.ended;
   }
 
   /** Ends the term: the shard has another owner. */
   end(): void {
-    this.over = true;
+    this.ended = true;
   }
 
   /** Tells the shard if the token has been advanced within the term. */
--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -65,7 +65,7 @@
   /** A full round over the shard until steady time `deadline`; returns how many tasks were placed. */
   place(token: number, now: number, clock: SteadyClock, deadline: number): number {
     this.dependencies.jobs.hasNewJobs = false;
-    // Most rounds find nothing to place: they must not cost a look at every machine of a large shard.
+    // Most rounds find nothing to place: they must not cost a pass over every machine of a large shard.
     const input = this.hasWaitingTasks() ? this.placementInput(now) : null;
     this.queue = input === null ? [] : buildQueue(input);
     if (input === null || this.queue.length === 0) {
--- a/src/shards/shard-owner.ts
+++ b/src/shards/shard-owner.ts
@@ -1,4 +1,4 @@
-/** The actor that owns one shard while this process is its owner. Its parts do the work; it gives each its turn. */
+/** The actor that owns one shard while this process is its owner: dispatches messages to the parts that do the work. */
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -190,7 +190,7 @@
   mock.timers.tick(60_000);
   const token = state.view.get(keys.shard(1))!.version;
   const shard = newShard({ shard: 1, termToken: token, view: state.view });
-  const term = { currentToken: () => token, isOver: () => false };
+  const term = { currentToken: () => token, hasEnded: () => false };
   const parts = { shard, term, state: state.client, view: state.view };
   const migrator = new JobMigrator({ ...parts, clock: () => 0, retryMs: 1000, log: silent });
   await migrator.migrate("req-1", 0);
