--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -2,7 +2,8 @@
 import { readFileSync } from "node:fs";
 import { Command } from "commander";
 import { readOperatorSettings, type OperatorSettings } from "../config/operator.js";
-import { parseSettings, readText, SettingsError, type Settings } from "../config/settings.js";
+import { readText, SettingsError } from "../config/settings-file.js";
+import { parseSettings, type Settings } from "../config/settings.js";
 import { Controller } from "../controller/controller.js";
 import { peerTimeoutMs } from "../controller/timings.js";
 import { TcpPeerNetwork } from "../peers/network.js";
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -2,7 +2,7 @@
 import * as z from "zod";
 import { linkSettingsSchema, type LinkSettings } from "../links/settings.js";
 import { parseWith } from "../wire/index.js";
-import { firstLine, readText, SettingsError } from "./settings.js";
+import { firstLine, readText, SettingsError } from "./settings-file.js";
 
 /** The operators' own settings, defaults filled in. */
 export interface OperatorSettings {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,29 +1,8 @@
 /** The platform's settings file (TOML), checked. Unknown fields are ignored; the error for a wrong one names it. */
-import { readFileSync } from "node:fs";
 import { parse } from "smol-toml";
 import * as z from "zod";
 import { parseWith } from "../wire/index.js";
-
-/** Where a fault in the settings is. */
-export interface SettingsErrorDetails extends ErrorOptions {
-  /** The file that cannot be used, where that is known. */
-  readonly file?: string;
-  /** The wrong field, its path joined by dots, where the fault is in one field. */
-  readonly field?: string | null;
-}
-
-/** Settings that cannot be used. The message is one line, and names the file or the field. */
-export class SettingsError extends Error {
-  override readonly name = "SettingsError";
-  readonly file: string | null;
-  readonly field: string | null;
-
-  constructor(message: string, { file, field, cause }: SettingsErrorDetails = {}) {
-    super(message, { cause });
-    this.file = file ?? null;
-    this.field = field ?? null;
-  }
-}
+import { firstLine, SettingsError } from "./settings-file.js";
 
 /** A named group of users with its guarantee and limit. */
 export interface Team {
@@ -48,7 +27,7 @@
 }
 
 /** What the platform expects of workers and their owners. */
-export interface WorkerSettings {
+interface WorkerSettings {
   /** The interval between two heartbeats of a worker, in milliseconds. */
   reportMs: number;
   /** How long a worker goes on without a lease renewal, in milliseconds. */
@@ -58,7 +37,7 @@
 }
 
 /** Limits of the state service. */
-export interface StateStoreSettings {
+interface StateStoreSettings {
   /** Requests per second, of all controllers together. */
   rps: number;
   /** Writes per second, of all controllers together. */
@@ -70,7 +49,7 @@
 }
 
 /** Limits of the cloud's interface. */
-export interface CloudSettings {
+interface CloudSettings {
   /** Requests per second. */
   rps: number;
   /** How old the cloud's list of machines may be, in milliseconds. */
@@ -78,7 +57,7 @@
 }
 
 /** Another controller. */
-export interface PeerAddress {
+interface PeerAddress {
   node: string;
   /** Where it listens to other controllers, host:port. */
   address: string;
@@ -209,21 +188,3 @@
     throw new SettingsError(`not TOML: ${firstLine(err as Error)}`, { cause: err });
   }
 }
-
-/** The first line of an error's message. */
-export function firstLine({ message }: Error): string {
-  return message.split("\n")[0] ?? "";
-}
-
-/**
- * Reads a file as text.
- * @throws SettingsError where the file cannot be read.
- */
-export function readText(file: string): string {
-  try {
-    return readFileSync(file, "utf8");
-  } catch (err) {
-    const reason = (err as NodeJS.ErrnoException).code ?? String(err);
-    throw new SettingsError(`cannot read ${file}: ${reason}`, { file, cause: err });
-  }
-}
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -104,7 +104,7 @@
       this.settings.state,
       this.settings.controllers,
       this.network.clock,
-      this.timings.callMs,
+      this.timings.callTimeoutMs,
     );
   }
 
@@ -222,7 +222,7 @@
       forward: (peer, request) => this.controllerRequests.forward(peer, request),
       isBehind: () => this.health.isBehind() || !this.links.policy.allows("accept"),
       isOutage: () => this.links.policy.refuses("accept"),
-      pauseMs: this.timings.peerMs,
+      pauseMs: this.timings.peerTimeoutMs,
       clock: this.network.clock,
       log: this.log,
     });
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -159,13 +159,18 @@
 ): LinkMonitorOptions {
   const { links, maxMachines } = operator;
   const { node, workers, peers, cloud, controllers } = settings;
-  const { callMs, tickMs, shardMovePeriodMs } = timings;
+  const { callTimeoutMs, tickMs, shardMovePeriodMs } = timings;
   return {
     node,
     incarnation,
     peers: peers.map((peer) => peer.node),
     mode,
-    timings: deriveLinkTimings(links, { ...workers, callMs, tickMs, shardMovePeriodMs }),
+    timings: deriveLinkTimings(links, {
+      ...workers,
+      callMs: callTimeoutMs,
+      tickMs,
+      shardMovePeriodMs,
+    }),
     probes: { cloudRps: cloud.rps, controllers, share: links.probe_share },
     // A worker that gets no answer sends its heartbeat to another controller after its time-out.
     misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.reportMs,
--- a/src/controller/timings.ts
+++ b/src/controller/timings.ts
@@ -13,11 +13,11 @@
 /** The durations of one controller, each a ratio to one of the settings; milliseconds unless said otherwise. */
 export interface Timings extends MembershipTimings {
   /** Time-out of a call to the state service. */
-  callMs: number;
+  callTimeoutMs: number;
   /** A replica that has not been current for longer than this is behind. */
   behindMs: number;
   /** Time-out of a request to a peer. */
-  peerMs: number;
+  peerTimeoutMs: number;
   /** How long the state service may hold a watch request open while nothing changes. */
   watchWaitMs: number;
   /** The least time between two watch requests. */
@@ -59,10 +59,10 @@
     staleMs: cancelMs - leaseMs - 2 * reportMs,
     shardMovePeriodMs: operator.shardMovePeriodMs,
     // Calls to the state service take milliseconds; four of these fit into a membership lease.
-    callMs: membershipLeaseMs / 5,
+    callTimeoutMs: membershipLeaseMs / 5,
     // A quiet watch is answered after a heartbeat interval; past two of them something is wrong.
     behindMs: 2 * reportMs,
-    peerMs: peerTimeoutMs(settings),
+    peerTimeoutMs: peerTimeoutMs(settings),
     watchWaitMs: reportMs,
     // Watches of all nodes together use a part of the service's request rate, but none comes more often than needed.
     watchSpacingMs: Math.max(reportMs / 10, (controllers / (WATCH_REQUEST_SHARE * rps)) * 1000),
--- a/src/http/heartbeats.ts
+++ b/src/http/heartbeats.ts
@@ -25,10 +25,6 @@
   log: Logger;
 }
 
-const OK = 200;
-const BAD_REQUEST = 400;
-const MISDIRECTED_REQUEST = 421;
-
 /** Answers the text of a heartbeat; undefined stands for a body that is missing or too long. */
 export async function handleHeartbeat(
   text: string | undefined,
@@ -37,9 +33,9 @@
   const parsed = parseHeartbeat(text === undefined ? undefined : parseJson(text));
   if (!parsed.ok) {
     dependencies.log.info({ error: parsed.error }, "heartbeat rejected as malformed");
-    return { status: BAD_REQUEST, body: { error: parsed.error } };
+    return { status: 400, body: { error: parsed.error } };
   }
   const routing = await dependencies.routeHeartbeat(parsed.value);
-  if (routing.kind === "commands") return { status: OK, body: routing.body };
-  return { status: MISDIRECTED_REQUEST, body: redirectToWire(routing.owner) };
+  if (routing.kind === "commands") return { status: 200, body: routing.body };
+  return { status: 421, body: redirectToWire(routing.owner) };
 }
--- a/test/config.test.ts
+++ b/test/config.test.ts
@@ -6,7 +6,8 @@
 import { join } from "node:path";
 import { after, describe, test } from "node:test";
 import { readOperatorSettings } from "../src/config/operator.js";
-import { parseSettings, SettingsError } from "../src/config/settings.js";
+import { SettingsError } from "../src/config/settings-file.js";
+import { parseSettings } from "../src/config/settings.js";
 import { settingsText } from "./support/settings.js";
 
 const folder = mkdtempSync(join(tmpdir(), "fernpond-config-"));
