--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -104,7 +104,7 @@
       limits: this.settings.state,
       controllers: this.settings.controllers,
       clock: this.network.clock,
-      timeoutMs: this.timings.callMs,
+      timeoutMs: this.timings.callTimeoutMs,
     });
   }
 
@@ -223,7 +223,7 @@
       forward: (peer, request) => this.controllerRequests.forward(peer, request),
       isBehind: () => this.health.isBehind() || !this.links.policy.allows("accept"),
       isOutage: () => this.links.policy.refuses("accept"),
-      pauseMs: this.timings.peerMs,
+      pauseMs: this.timings.peerTimeoutMs,
       clock: this.network.clock,
       log: this.log,
     });
