--- a/eslint.config.js
+++ b/eslint.config.js
@@ -50,9 +50,6 @@
   { selector: "variable", filter: "^Table$", format: ["PascalCase"] },
 ];
 
-/** The level of rules that still have findings: becomes "error" as soon as `npm run lint` warns of nothing. */
-const PENDING = "warn";
-
 /** Names that are usual at any length of scope: the counter of a loop, and `z` of zod. */
 const USUAL_SHORT_NAMES = new Set(["i", "z", "_"]);
 
@@ -121,14 +118,14 @@
       "import-x/no-cycle": ["error", { ignoreExternal: true }],
       "@typescript-eslint/no-import-type-side-effects": "error",
       "@typescript-eslint/consistent-type-exports": "error",
-      "@typescript-eslint/consistent-type-imports": PENDING,
+      "@typescript-eslint/consistent-type-imports": "error",
       // A default covers the rest of a union; a switch over any other type must have one.
       "@typescript-eslint/switch-exhaustiveness-check": [
-        PENDING,
+        "error",
         { considerDefaultExhaustiveForUnions: true, requireDefaultForNonUnion: true },
       ],
       "@typescript-eslint/naming-convention": ["error", ...NAMES],
-      "local/short-names": PENDING,
+      "local/short-names": "error",
       "@typescript-eslint/no-unused-vars": ["error", { argsIgnorePattern: "^_" }],
       eqeqeq: "error",
       "@typescript-eslint/restrict-template-expressions": ["error", { allowNumber: true }],
@@ -148,7 +145,7 @@
     files: ["src/**/*.ts"],
     plugins: { jsdoc },
     rules: {
-      "local/module-comment": PENDING,
+      "local/module-comment": "error",
       "jsdoc/require-jsdoc": [
         "error",
         {
--- a/src/links/degradation-policy.ts
+++ b/src/links/degradation-policy.ts
@@ -35,7 +35,7 @@
 export type Decision = (typeof DECISIONS)[number];
 
 /** What an activity rests on where it goes on. */
-export type Proof =
+type Proof =
   | "none"
   /** A transaction of the state service that was answered with success. */
   | "recorded"
--- a/src/links/status.ts
+++ b/src/links/status.ts
@@ -5,7 +5,7 @@
 import { MONITOR_MODES } from "./settings.js";
 
 /** Checked where it comes from another controller; fields of a newer program are ignored. */
-export const linkStatusSchema = z.object({
+const linkStatusSchema = z.object({
   node: z.string(),
   mode: z.enum(MONITOR_MODES),
   links: z.array(
--- a/test/support/soak/faults.ts
+++ b/test/support/soak/faults.ts
@@ -12,6 +12,21 @@
 /** How often it is looked whether an owner has answered. */
 const LOOK_MS = 20;
 
+/** The faults of messages between workers, controllers and the state service, and of the machines themselves. */
+type MessageFault = Extract<
+  SoakFault,
+  {
+    kind:
+      | "late_transactions"
+      | "lost_answers"
+      | "answers_held"
+      | "late_reports"
+      | "machines_hang"
+      | "machines_deaf"
+      | "machines_mute";
+  }
+>;
+
 /** Shares of messages that meet a fault at the moment. */
 export class MessageFaults {
   lateTransactions = 0;
@@ -80,7 +95,7 @@
     }
   }
 
-  private async carryOutOnMessages(fault: Extract<SoakFault, { forMs: number }>): Promise<void> {
+  private async carryOutOnMessages(fault: MessageFault): Promise<void> {
     const { messages, cluster } = this.targets;
     switch (fault.kind) {
       case "late_transactions":
