--- a/src/autoscaling/reconciler.ts
+++ b/src/autoscaling/reconciler.ts
@@ -32,7 +32,7 @@
   constructor(private readonly dependencies: AutoscalerDependencies) {
     const { settings, operator, view, fleet, callbacks } = dependencies;
     const { refusals, returnedMachines } = this;
-    const minHeartbeatGapMs = settings.workers.reportMs / 2;
+    const minHeartbeatGapMs = settings.workers.heartbeatIntervalMs / 2;
     const unregisteredMachines = new UnregisteredMachines(minHeartbeatGapMs, operator.maxMachines);
     this.summaries = new SummaryStore(view, fleet, operator.passSpacingMs);
     this.machineTypes = new MachineTypeCache(dependencies);
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -29,7 +29,7 @@
 /** What the platform expects of workers and their owners. */
 interface WorkerSettings {
   /** The interval between two heartbeats of a worker, in milliseconds. */
-  reportMs: number;
+  heartbeatIntervalMs: number;
   /** How long a worker goes on without a lease renewal, in milliseconds. */
   leaseMs: number;
   /** The time within which all tasks of a cancelled job must be gone, in milliseconds. */
@@ -157,7 +157,7 @@
       withinS: objective.within_s ?? null,
     })),
     workers: {
-      reportMs: file.settings.workers.report_s * 1000,
+      heartbeatIntervalMs: file.settings.workers.report_s * 1000,
       leaseMs: file.settings.workers.lease_s * 1000,
       cancelMs: file.settings.workers.cancel_s * 1000,
     },
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -152,10 +152,16 @@
   }
 
   private makeShardHost(): ShardHost {
-    const { roundMs, preemptMs, quietTicks, staleMs } = this.timings;
+    const { roundBudgetMs, preemptionSpacingMs, quietTicks, maxViewAgeMs } = this.timings;
     return new ShardHost({
       settings: this.settings,
-      timings: { roundMs, preemptMs, quietTicks, staleMs, spacingMs: this.operator.passSpacingMs },
+      timings: {
+        roundBudgetMs,
+        preemptionSpacingMs,
+        quietTicks,
+        maxViewAgeMs,
+        spacingMs: this.operator.passSpacingMs,
+      },
       metrics: this.metrics,
       state: this.state,
       replica: this.replica,
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -44,7 +44,7 @@
       users: links.observeUsers(requestForwarder),
       routeHeartbeat: (heartbeat) => heartbeatRouter.route(heartbeat),
       isHealthy: () => {
-        links.noteUserRequest();
+        links.recordUserRequest();
         return health.isHealthy();
       },
       linkStatus: () => links.status(),
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -26,7 +26,7 @@
   readonly misroutedSpacingMs: number;
   /** The most machines that the cluster may have. */
   readonly maxMachines: number;
-  readonly links: Pick<LinkMonitoring, "noteHeartbeat" | "noteMisrouted">;
+  readonly links: Pick<LinkMonitoring, "recordHeartbeat" | "recordMisroutedHeartbeat">;
 }
 
 /** Has heartbeats of this process's shards answered by their owners, and redirects all others. */
@@ -52,7 +52,7 @@
     }
     const owner = this.dependencies.ownerOf(record.shard);
     if (owner === undefined) this.noteMisrouted(record.shard, heartbeat);
-    else this.dependencies.links.noteHeartbeat(record.shard, heartbeat.highestToken);
+    else this.dependencies.links.recordHeartbeat(record.shard, heartbeat.highestToken);
     if (owner === undefined || owner.writableNeedDrain) return this.redirect(record.shard);
     const response = await owner.ask<HeartbeatResponse>((reply) => ({
       kind: "heartbeat",
@@ -77,7 +77,7 @@
     if (owner === null || term === undefined) return;
     const now = this.dependencies.clock();
     if (heartbeat.highestToken !== term && !this.redirected.hasReturned(heartbeat.host, term, now)) return;
-    this.dependencies.links.noteMisrouted(shard, term, heartbeat.host);
+    this.dependencies.links.recordMisroutedHeartbeat(shard, term, heartbeat.host);
     if (now - (this.misroutedNoticeAt.get(shard) ?? -Infinity) < this.dependencies.misroutedSpacingMs) return;
     this.misroutedNoticeAt.set(shard, now);
     this.dependencies
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -88,19 +88,19 @@
     if (this.monitor === null) return users;
     return {
       handle: (request) => {
-        this.noteUserRequest();
+        this.recordUserRequest();
         return users.handle(request);
       },
     };
   }
 
   /** Notes that a user's request or a health check was received. */
-  noteUserRequest(): void {
+  recordUserRequest(): void {
     if (this.monitor !== null) this.sink({ kind: "delivered", link: "users", direction: "inbound" });
   }
 
   /** Notes a heartbeat for a shard of this process; the token of the present term shows that the worker got an answer. */
-  noteHeartbeat(shard: number, token: number): void {
+  recordHeartbeat(shard: number, token: number): void {
     if (this.monitor === null) return;
     this.sink({ kind: "delivered", link: "workers", direction: "inbound" });
     if (token === this.actors?.membership.token(shard))
@@ -108,7 +108,7 @@
   }
 
   /** Notes a heartbeat of a worker of another controller's shard. */
-  noteMisrouted(shard: number, term: number, host: string): void {
+  recordMisroutedHeartbeat(shard: number, term: number, host: string): void {
     this.monitor?.tell({ kind: "misrouted", shard, term, host });
   }
 
@@ -167,13 +167,13 @@
     mode,
     timings: deriveLinkTimings(links, {
       ...workers,
-      callMs: callTimeoutMs,
+      callTimeoutMs,
       tickMs,
       shardMovePeriodMs,
     }),
     probes: { cloudRps: cloud.rps, controllers, share: links.probe_share },
     // A worker that gets no answer sends its heartbeat to another controller after its time-out.
-    misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.reportMs,
+    misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.heartbeatIntervalMs,
     maxMachines,
     usersSilentMs: SILENT_HEALTH_CHECKS * HEALTH_CHECK_S * 1000,
     clock,
--- a/src/controller/timings.ts
+++ b/src/controller/timings.ts
@@ -35,9 +35,9 @@
   /** The least time between two notices to an owner that its workers send their heartbeats to this controller. */
   misroutedSpacingMs: number;
   /** The most time that one placement round may take. */
-  roundMs: number;
+  roundBudgetMs: number;
   /** The least time between two searches for tasks to preempt. */
-  preemptMs: number;
+  preemptionSpacingMs: number;
 }
 
 /** Time-out of a request to a peer, in milliseconds: peers answer at once or not in time for a user. */
@@ -46,7 +46,7 @@
 
 /** Derives the controller's durations from the settings. */
 export function deriveTimings(settings: Settings, operator: OperatorSettings): Timings {
-  const { leaseMs, reportMs, cancelMs } = settings.workers;
+  const { leaseMs, heartbeatIntervalMs, cancelMs } = settings.workers;
   const { controllers } = settings;
   const { rps } = settings.state;
   const membershipLeaseMs = Math.round(leaseMs / 2);
@@ -56,28 +56,28 @@
     // Time between checking a right and acting on it, on a machine with a part of a core.
     marginMs: membershipLeaseMs / 10,
     // A cancelled task must be gone in time even where the last renewal was made on the oldest allowed view.
-    staleMs: cancelMs - leaseMs - 2 * reportMs,
+    maxViewAgeMs: cancelMs - leaseMs - 2 * heartbeatIntervalMs,
     shardMovePeriodMs: operator.shardMovePeriodMs,
     // Calls to the state service take milliseconds; four of these fit into a membership lease.
     callTimeoutMs: membershipLeaseMs / 5,
     // A quiet watch is answered after a heartbeat interval; past two of them something is wrong.
-    behindMs: 2 * reportMs,
+    behindMs: 2 * heartbeatIntervalMs,
     peerTimeoutMs: peerTimeoutMs(settings),
-    watchWaitMs: reportMs,
+    watchWaitMs: heartbeatIntervalMs,
     // Watches of all nodes together use a part of the service's request rate, but none comes more often than needed.
-    watchSpacingMs: Math.max(reportMs / 10, (controllers / (WATCH_REQUEST_SHARE * rps)) * 1000),
+    watchSpacingMs: Math.max(heartbeatIntervalMs / 10, (controllers / (WATCH_REQUEST_SHARE * rps)) * 1000),
     // A user waits five seconds for the answer to a submission, and two for the answer to a question.
     submitQueueTimeoutMs: membershipLeaseMs / 4,
     lookupTimeoutMs: membershipLeaseMs / 5,
-    tickMs: reportMs / TICKS_PER_HEARTBEAT,
+    tickMs: heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
     // A worker that can reach its owner sends a heartbeat within one and a quarter of the interval.
     quietTicks: (3 / 2) * TICKS_PER_HEARTBEAT,
     // Users send a request every five seconds and workers one every heartbeat interval; past its lease a worker has no use
     // for the connection. Guards against a controller out of sockets: where users open a connection for each question,
     // those of the last minutes would take all that it has.
     idleConnectionMs: leaseMs,
-    misroutedSpacingMs: reportMs / 4,
-    roundMs: reportMs / 50,
-    preemptMs: reportMs / 2,
+    misroutedSpacingMs: heartbeatIntervalMs / 4,
+    roundBudgetMs: heartbeatIntervalMs / 50,
+    preemptionSpacingMs: heartbeatIntervalMs / 2,
   };
 }
--- a/src/links/heartbeat-rate.ts
+++ b/src/links/heartbeat-rate.ts
@@ -12,7 +12,7 @@
   /** Whether the last whole window had far fewer reports than its workers send. */
   isSparse = false;
 
-  constructor(private readonly reportMs: number) {}
+  constructor(private readonly heartbeatIntervalMs: number) {}
 
   /** A report came. */
   record(): void {
@@ -29,8 +29,8 @@
   /** To be called at every tick, with the number of workers that should report. */
   review(now: number, workers: number): void {
     const windowMs = now - this.windowStart;
-    if (windowMs < WINDOW_HEARTBEATS * this.reportMs) return;
-    const expected = (workers * windowMs) / this.reportMs;
+    if (windowMs < WINDOW_HEARTBEATS * this.heartbeatIntervalMs) return;
+    const expected = (workers * windowMs) / this.heartbeatIntervalMs;
     // Before the first window nothing has been counted.
     this.isSparse = Number.isFinite(expected) && this.count < SPARSE_BELOW * expected;
     this.count = 0;
--- a/src/links/settings.ts
+++ b/src/links/settings.ts
@@ -32,17 +32,17 @@
 
 /** What the platform's settings contribute. */
 export interface LinkTimingInputs {
-  reportMs: number;
+  heartbeatIntervalMs: number;
   leaseMs: number;
   /** After how long a call to the state service is given up. */
-  callMs: number;
+  callTimeoutMs: number;
   tickMs: number;
   shardMovePeriodMs: number;
 }
 
 /** Durations of the link monitor, in milliseconds. */
 export interface LinkTimings {
-  reportMs: number;
+  heartbeatIntervalMs: number;
   tickMs: number;
   downAfterMs: number;
   recoverMs: number;
@@ -77,22 +77,22 @@
 
 /** What the settings come to. */
 export function deriveLinkTimings(settings: LinkSettings, inputs: LinkTimingInputs): LinkTimings {
-  const { reportMs, leaseMs, callMs, tickMs, shardMovePeriodMs } = inputs;
-  const recoverMs = settings.recover_after_reports * reportMs;
-  const viewSpacingMs = reportMs / 2;
+  const { heartbeatIntervalMs, leaseMs, callTimeoutMs, tickMs, shardMovePeriodMs } = inputs;
+  const recoverMs = settings.recover_after_reports * heartbeatIntervalMs;
+  const viewSpacingMs = heartbeatIntervalMs / 2;
   return {
-    reportMs,
+    heartbeatIntervalMs,
     tickMs,
-    downAfterMs: settings.down_after_reports * reportMs,
+    downAfterMs: settings.down_after_reports * heartbeatIntervalMs,
     recoverMs,
     recoverBoundMs: settings.flap_bound * recoverMs,
     flapWindowMs: 2 * leaseMs,
-    quietMs: settings.quiet_after_reports * reportMs,
+    quietMs: settings.quiet_after_reports * heartbeatIntervalMs,
     forgetMs: 4 * leaseMs,
-    slowMs: SLOW_FRACTION * callMs,
+    slowMs: SLOW_FRACTION * callTimeoutMs,
     viewSpacingMs,
-    viewTtlMs: settings.quiet_after_reports * reportMs + VIEW_TTL_SPACINGS * viewSpacingMs,
-    silenceMs: SILENCE_HEARTBEATS * reportMs,
+    viewTtlMs: settings.quiet_after_reports * heartbeatIntervalMs + VIEW_TTL_SPACINGS * viewSpacingMs,
+    silenceMs: SILENCE_HEARTBEATS * heartbeatIntervalMs,
     stallMs: STALLED_TICKS * tickMs,
     moveBackoffMs: shardMovePeriodMs,
     moveBackoffBoundMs: settings.move_backoff_bound * shardMovePeriodMs,
--- a/src/links/silence-detector.ts
+++ b/src/links/silence-detector.ts
@@ -34,7 +34,7 @@
   private workersExpectedSince: number | null = null;
 
   constructor(private readonly dependencies: SilenceDetectorDependencies) {
-    this.heartbeatRate = new HeartbeatRate(dependencies.timings.reportMs);
+    this.heartbeatRate = new HeartbeatRate(dependencies.timings.heartbeatIntervalMs);
   }
 
   /** Whether responses to workers are found not to arrive. */
--- a/src/membership/membership-lease.ts
+++ b/src/membership/membership-lease.ts
@@ -62,7 +62,7 @@
       leaseLeftMs: this.validUntil - now,
       viewAgeMs: now - view.completeAsOf,
       viewShowsJoin: this.viewShowsJoin(),
-      staleMs: timings.staleMs,
+      maxViewAgeMs: timings.maxViewAgeMs,
     };
   }
 
--- a/src/membership/membership-messages.ts
+++ b/src/membership/membership-messages.ts
@@ -10,7 +10,7 @@
   /** What is subtracted from the lease on this side for the time between a check and the action that relies on it. */
   marginMs: number;
   /** The oldest view of the records on which a worker's lease may still be renewed. */
-  staleMs: number;
+  maxViewAgeMs: number;
   /** The least time between two hand-overs that only balance the load of the controllers. */
   shardMovePeriodMs: number;
 }
--- a/src/membership/shard-authority.ts
+++ b/src/membership/shard-authority.ts
@@ -24,7 +24,7 @@
   /** Whether the replica is at least as new as this process's member record. */
   viewShowsJoin: boolean;
   /** The age, in milliseconds, from which a replica is too old for the renewal of a worker's lease. */
-  staleMs: number;
+  maxViewAgeMs: number;
 }
 
 /** What a decision on the authority for a shard is based on. */
@@ -45,7 +45,7 @@
   if (evidence.leaseLeftMs <= 0) return "lease_over";
   if (!evidence.viewShowsJoin) return "view_before_entry";
   // Guards against renewing a worker's lease for a task whose cancellation has not reached this process.
-  if (evidence.viewAgeMs >= evidence.staleMs) return "view_too_old";
+  if (evidence.viewAgeMs >= evidence.maxViewAgeMs) return "view_too_old";
   return null;
 }
 
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -15,7 +15,7 @@
 export interface PlacementRound {
   starts: TaskStart[];
   /** The id of the job at which the next round goes on; null when the whole queue was considered. */
-  resumeAt: string | null;
+  resumeAtJob: string | null;
   reservations: Map<Machine, Job>;
   /** How many machines were considered for how many jobs: what the round cost, whatever the processor. */
   steps: number;
@@ -49,14 +49,14 @@
 }
 
 /** The position in the queue at which the round begins. */
-function firstPosition(queue: QueueEntry[], { resumeAt }: PlacementInput): number {
+function firstPosition(queue: QueueEntry[], { resumeAtJob: resumeAt }: PlacementInput): number {
   if (resumeAt === null) return 0;
   const position = queue.findIndex(({ job }) => job.spec.id === resumeAt);
   return Math.max(0, position);
 }
 
 function resultOf({ starts, reservations, steps }: RoundState, resumeAt: string | null): PlacementRound {
-  return { starts, resumeAt, reservations, steps };
+  return { starts, resumeAtJob: resumeAt, reservations, steps };
 }
 
 /**
@@ -74,7 +74,7 @@
   const reservations = new Map([...input.starvationReservations, ...input.preemptionReservations]);
   const capacities = capacityForQueue(queue, input, [machine]);
   // Most machines that send heartbeats are full: quota usage is not added up for them.
-  if (capacities.length === 0) return { starts: [], resumeAt: null, reservations, steps: 0 };
+  if (capacities.length === 0) return { starts: [], resumeAtJob: null, reservations, steps: 0 };
   const state = beginRound(input, capacities, reservations);
   for (const job of imageLocalFirst(machine, queue, input, hasEnoughImageHolders))
     placeWithinQuota(job, state);
--- a/src/placement/preemptable-capacity.ts
+++ b/src/placement/preemptable-capacity.ts
@@ -14,7 +14,7 @@
 /** What preemption is decided on. */
 export interface PreemptionInput extends PlacementInput {
   /** The interval of workers' heartbeats, in milliseconds. */
-  reportMs: number;
+  heartbeatIntervalMs: number;
 }
 
 /** A machine, and what will be free on it about as soon as a task stopped now would release its capacity. */
@@ -66,7 +66,7 @@
 function endsSoon(placement: Placement, type: MachineType, input: PreemptionInput): boolean {
   const { state, stateSince, job } = placement;
   if (state === "running" && input.now - stateSince > expectedRuntimeMs(job, input)) return false;
-  return expectedRemainingMs(placement, type, input) <= job.spec.saveS * 1000 + 2 * input.reportMs;
+  return expectedRemainingMs(placement, type, input) <= job.spec.saveS * 1000 + 2 * input.heartbeatIntervalMs;
 }
 
 /** Whether little work is lost: it is saved, or has hardly begun. */
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -16,7 +16,7 @@
 /** The durations that the renewal guard goes by. */
 export interface RenewalGuardTimings {
   /** The age of a shard's view from which on no lease may be renewed on it. */
-  staleMs: number;
+  maxViewAgeMs: number;
   /** The least time between two log lines about refusals. */
   spacingMs: number;
 }
@@ -40,12 +40,12 @@
 
   /** Whether a heartbeat may be answered with a renewal at all; `viewAgeMs` is the age of the shard's own view. */
   permission(authority: ShardAuthority, workerToken: number, viewAgeMs: number): RenewalPermission {
-    const { staleMs } = this.timings;
+    const { maxViewAgeMs } = this.timings;
     const permission = decideRenewalPermission({
       authority,
       workerToken,
       shardViewAgeMs: viewAgeMs,
-      staleMs,
+      maxViewAgeMs,
     });
     if (!permission.allowed) this.metrics.refused(permission.reason);
     if (permission.allowed || !ROUTINE_REFUSALS.has(permission.reason))
--- a/src/shards/round-throttle.ts
+++ b/src/shards/round-throttle.ts
@@ -9,7 +9,7 @@
 /** What the throttle of one shard's rounds is made from. */
 export interface RoundThrottleDependencies {
   readonly shard: Shard;
-  readonly timings: Pick<ShardOwnerTimings, "roundMs" | "preemptMs">;
+  readonly timings: Pick<ShardOwnerTimings, "roundBudgetMs" | "preemptionSpacingMs">;
   readonly clock: SteadyClock;
 }
 
@@ -37,7 +37,7 @@
   /** A full placement round; returns whether tasks were placed. */
   place(token: number): boolean {
     const startedAt = this.clock();
-    const deadline = startedAt + this.timings.roundMs;
+    const deadline = startedAt + this.timings.roundBudgetMs;
     const placed = this.shard.place(token, startedAt, this.clock, deadline) > 0;
     const endedAt = this.clock();
     // Guards against a large shard whose every heartbeat leads to a full round: it would have time for little else.
@@ -47,8 +47,8 @@
 
   /** Looks for tasks to preempt, once the last ones that were chosen could have been seen stopped. */
   preempt(now: number): void {
-    if (now - this.lastPreemptAt < this.timings.preemptMs) return;
+    if (now - this.lastPreemptAt < this.timings.preemptionSpacingMs) return;
     this.lastPreemptAt = now;
-    this.shard.preempt(now, this.clock, this.clock() + this.timings.roundMs);
+    this.shard.preempt(now, this.clock, this.clock() + this.timings.roundBudgetMs);
   }
 }
--- a/src/shards/shard-owner-messages.ts
+++ b/src/shards/shard-owner-messages.ts
@@ -51,11 +51,11 @@
 /** The durations that a shard owner goes by. */
 export interface ShardOwnerTimings {
   /** How long a placement round may take. */
-  roundMs: number;
+  roundBudgetMs: number;
   /** The least time between two summaries, and between two writes of completions. */
   spacingMs: number;
   /** The least time between two searches for tasks to preempt. */
-  preemptMs: number;
+  preemptionSpacingMs: number;
   /** After so many ticks without a heartbeat the shard's workers do not reach this node. */
   quietTicks: number;
 }
--- a/src/shards/shard-parts.ts
+++ b/src/shards/shard-parts.ts
@@ -53,7 +53,7 @@
 export function createShardParts(dependencies: ShardDependencies): ShardParts {
   const { shard, settings, log } = dependencies;
   const { metrics = new DecisionMetrics() } = dependencies;
-  const { reportMs: heartbeatIntervalMs, cancelMs } = settings.workers;
+  const { heartbeatIntervalMs, cancelMs } = settings.workers;
   const leaseMs = longestLeaseMs(settings);
 
   const jobs = new JobTable({ shard, valueBytes: settings.state.valueBytes, metrics, log });
@@ -87,6 +87,6 @@
 
 /** A worker's lease, with the drift of both clocks and what may pass between a heartbeat and its response. */
 function longestLeaseMs(settings: Settings): number {
-  const { leaseMs, reportMs: heartbeatIntervalMs } = settings.workers;
+  const { leaseMs, heartbeatIntervalMs } = settings.workers;
   return leaseMs * (1 + 2 * CLOCK_DRIFT) + heartbeatIntervalMs / 4;
 }
--- a/src/shards/task-eviction.ts
+++ b/src/shards/task-eviction.ts
@@ -32,7 +32,7 @@
   /** Stops less urgent tasks where that frees capacity for more urgent ones in time; `deadline` bounds the search. */
   preempt(input: PlacementInput, clock: SteadyClock, deadline: number): void {
     const { shard, reservations, heartbeatIntervalMs, log } = this.dependencies;
-    const preemptionInput = { ...input, reportMs: heartbeatIntervalMs };
+    const preemptionInput = { ...input, heartbeatIntervalMs };
     const { victims, reserved } = choosePreemptions(preemptionInput, clock, deadline);
     let longestGraceMs = 0;
     for (const victim of victims) {
--- a/src/workers/lease-renewal.ts
+++ b/src/workers/lease-renewal.ts
@@ -43,16 +43,16 @@
   /** For how long the shard's own view of the records, on which its commands are decided, may have been incomplete. */
   shardViewAgeMs: number;
   /** From this age on a view is too old to renew a lease. */
-  staleMs: number;
+  maxViewAgeMs: number;
 }
 
 /** Decides whether a heartbeat may be answered at all, before it is reconciled. */
 export function decideRenewalPermission(evidence: RenewalEvidence): RenewalPermission {
-  const { authority, workerToken, shardViewAgeMs, staleMs } = evidence;
+  const { authority, workerToken, shardViewAgeMs, maxViewAgeMs } = evidence;
   if (!authority.held) return { allowed: false, reason: authority.reason, shardViewAgeMs };
   if (workerToken > authority.token) return { allowed: false, reason: "newer_token", shardViewAgeMs };
   // Guards against checking one view's age and deciding on another: a shard that missed a change must not go on.
-  if (shardViewAgeMs >= staleMs) return { allowed: false, reason: "shard_behind_view", shardViewAgeMs };
+  if (shardViewAgeMs >= maxViewAgeMs) return { allowed: false, reason: "shard_behind_view", shardViewAgeMs };
   return { allowed: true, token: authority.token, shardViewAgeMs };
 }
 
--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -9,7 +9,13 @@
 import { silent } from "./support/records.js";
 
 const TICK_MS = 400;
-const INPUTS = { reportMs: 2000, leaseMs: 10_000, callMs: 1000, tickMs: TICK_MS, shardMovePeriodMs: 30_000 };
+const INPUTS = {
+  heartbeatIntervalMs: 2000,
+  leaseMs: 10_000,
+  callTimeoutMs: 1000,
+  tickMs: TICK_MS,
+  shardMovePeriodMs: 30_000,
+};
 const PEERS = ["b", "c", "d"];
 
 /** A monitor, a clock that counts who looks at it, and the probes that were sent. */
@@ -100,7 +106,7 @@
     monitor.tell({ kind: "observed", observation: { kind: "refused", link: "state" } });
   }
   assert.ok(
-    counts.probes.length <= PEERS.length * (60_000 / INPUTS.reportMs),
+    counts.probes.length <= PEERS.length * (60_000 / INPUTS.heartbeatIntervalMs),
     `${counts.probes.length} probes`,
   );
 });
@@ -112,7 +118,7 @@
     tick();
     for (let k = 0; k < 20; k++) if (monitor.outgoing("b") !== undefined) sent++;
   }
-  assert.ok(sent <= 60_000 / (INPUTS.reportMs / 2), `${sent} views a minute`);
+  assert.ok(sent <= 60_000 / (INPUTS.heartbeatIntervalMs / 2), `${sent} views a minute`);
 });
 
 // Fails if a monitor that only observes counts hand-overs, or keeps shards from peers.
--- a/test/links-properties.test.ts
+++ b/test/links-properties.test.ts
@@ -23,9 +23,9 @@
 const RUNS = { seed: 20_261_202, numRuns: Number(process.env.PROPERTY_RUNS ?? 300) };
 
 const timings = deriveLinkTimings(linkSettingsSchema.parse({}), {
-  reportMs: 2000,
+  heartbeatIntervalMs: 2000,
   leaseMs: 10_000,
-  callMs: 1000,
+  callTimeoutMs: 1000,
   tickMs: 400,
   shardMovePeriodMs: 30_000,
 });
--- a/test/links-traces.test.ts
+++ b/test/links-traces.test.ts
@@ -7,7 +7,13 @@
 import { list, number, traceTests, type Step, type TraceEvent } from "./support/trace.js";
 
 const TICK_MS = 400;
-const INPUTS = { reportMs: 2000, leaseMs: 10_000, callMs: 1000, tickMs: TICK_MS, shardMovePeriodMs: 30_000 };
+const INPUTS = {
+  heartbeatIntervalMs: 2000,
+  leaseMs: 10_000,
+  callTimeoutMs: 1000,
+  tickMs: TICK_MS,
+  shardMovePeriodMs: 30_000,
+};
 
 /** The present term of each shard's owner. */
 const TERM = 7;
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -91,7 +91,7 @@
 async function reportsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
   const since = world.now;
   const happened = await world.runUntil(met, GIVE_UP_MS);
-  return happened ? (world.now - since) / world.settings.workers.reportMs : null;
+  return happened ? (world.now - since) / world.settings.workers.heartbeatIntervalMs : null;
 }
 
 function victimOf(world: Simulation, link: ScheduledLink): SimulatedNode {
@@ -111,7 +111,7 @@
     const after: { shown: number | null; handled: number | null } = { shown: null, handled: null };
     // A shard that has passed on leaves no workers to be missed: what comes first ends the other's chance.
     await world.runUntil(() => {
-      const reports = (world.now - since) / world.settings.workers.reportMs;
+      const reports = (world.now - since) / world.settings.workers.heartbeatIntervalMs;
       if (isIn("down", node, shown, direction)) after.shown ??= reports;
       if (handled?.()) after.handled ??= reports;
       return handled === null ? after.shown !== null : after.handled !== null;
@@ -254,7 +254,7 @@
 
 const [folder = "target/measure", seedsText = "5"] = process.argv.slice(2);
 const seeds = Number(seedsText);
-const { reportMs, leaseMs } = testSettings().workers;
+const { heartbeatIntervalMs: reportMs, leaseMs } = testSettings().workers;
 const measurements: Measurements = {
   seeds,
   reportMs,
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -142,7 +142,7 @@
     self,
     shards: 3,
     controllers: 3,
-    timings: { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 },
+    timings: { membershipLeaseMs: 5000, marginMs: 100, maxViewAgeMs: 5000, shardMovePeriodMs: 30_000 },
     state: state as unknown as StateStoreClient,
     view: store,
     clock,
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -76,9 +76,9 @@
 function statusWithoutState(mode: "observe" | "enforce"): LinkStatus {
   let now = 0;
   const inputs = {
-    reportMs: 2000,
+    heartbeatIntervalMs: 2000,
     leaseMs: 10_000,
-    callMs: 1000,
+    callTimeoutMs: 1000,
     tickMs: TICK_MS,
     shardMovePeriodMs: 30_000,
   };
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -56,7 +56,10 @@
     const resumed = mock.fn(() => true);
     for (const { placements } of machines)
       for (const placement of placements) Object.defineProperty(placement, "resumed", { get: resumed });
-    const { victims } = choosePreemptions({ ...placementInput([low, ...waiting], machines), reportMs: 2500 });
+    const { victims } = choosePreemptions({
+      ...placementInput([low, ...waiting], machines),
+      heartbeatIntervalMs: 2500,
+    });
     assert.deepEqual(victims, []);
     assert.ok(resumed.mock.callCount() > 0, "they were considered");
     assert.ok(resumed.mock.callCount() <= 4 * MACHINES, `${resumed.mock.callCount()} times`);
@@ -91,10 +94,10 @@
 /** An owner that may act for its shard and writes nothing. */
 function ownerOf(shard: ReturnType<typeof slowShard>, clock: SteadyClock): ShardOwner {
   const authority = { held: true, token: 1, leaseLeftMs: 1000, viewAgeMs: 0 } as const;
-  const renewalTimings = { staleMs: Infinity, spacingMs: 1000 };
+  const renewalTimings = { maxViewAgeMs: Infinity, spacingMs: 1000 };
   return new ShardOwner({
     shard: shard as unknown as Shard,
-    timings: { roundMs: 50, spacingMs: 1000, preemptMs: 1000, quietTicks: 8 },
+    timings: { roundBudgetMs: 50, spacingMs: 1000, preemptionSpacingMs: 1000, quietTicks: 8 },
     state: { txnOps: 8 } as unknown as StateStoreClient,
     view: new FakeView(),
     fleet: new Fleet(silent),
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -24,10 +24,10 @@
     const machine = newMachine("i-1");
     // Each look at the clock takes all of the time there is: one job a round.
     const round = wholeRound(placementInput(jobs, [machine]), () => 10, 5);
-    assert.deepEqual([round.starts.length, round.resumeAt], [1, "req-2"]);
-    const next = wholeRound(placementInput(jobs, [machine], { resumeAt: "req-2" }), () => 0, 5);
+    assert.deepEqual([round.starts.length, round.resumeAtJob], [1, "req-2"]);
+    const next = wholeRound(placementInput(jobs, [machine], { resumeAtJob: "req-2" }), () => 0, 5);
     assert.deepEqual(
-      [next.starts.map((start) => start.job.spec.id), next.resumeAt],
+      [next.starts.map((start) => start.job.spec.id), next.resumeAtJob],
       [["req-2", "req-3"], null],
     );
   });
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -61,7 +61,7 @@
     leaseLeftMs: 1,
     viewAgeMs: STALE_MS - 1,
     viewShowsJoin: true,
-    staleMs: STALE_MS,
+    maxViewAgeMs: STALE_MS,
   };
   assert.equal(decideShardAuthority(evidence).held, true);
   const reasonOf = (overrides: Partial<typeof evidence> | { token: null }): string => {
@@ -81,7 +81,7 @@
       authority: held,
       workerToken: 7,
       shardViewAgeMs: 100,
-      staleMs: STALE_MS,
+      maxViewAgeMs: STALE_MS,
     };
     assert.deepEqual(decideRenewalPermission(evidence), { allowed: true, token: 7, shardViewAgeMs: 100 });
     const reasonOf = (overrides: Partial<typeof evidence>): string => {
@@ -114,7 +114,7 @@
   const { lines, log } = collectedLog();
   const metrics = new DecisionMetrics();
   let now = 0;
-  const gate = new RenewalGuard(0, { staleMs: STALE_MS, spacingMs: 1000 }, metrics, () => now, log);
+  const gate = new RenewalGuard(0, { maxViewAgeMs: STALE_MS, spacingMs: 1000 }, metrics, () => now, log);
   const answer = (commands: WorkerCommand[]): boolean => {
     const right = gate.permission(held, 7, 100);
     return right.allowed && gate.decide(right, heartbeat(task("over")), commands, isLive) !== null;
@@ -138,7 +138,7 @@
   const { lines, log } = collectedLog();
   const gate = new RenewalGuard(
     0,
-    { staleMs: STALE_MS, spacingMs: 1000 },
+    { maxViewAgeMs: STALE_MS, spacingMs: 1000 },
     new DecisionMetrics(),
     () => 0,
     log,
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -100,7 +100,7 @@
     0,
   );
   await state.client.compareAndSwap(conditions, writes, "ownership");
-  const timings = { membershipLeaseMs: 5000, marginMs: 100, staleMs: 5000, shardMovePeriodMs: 30_000 };
+  const timings = { membershipLeaseMs: 5000, marginMs: 100, maxViewAgeMs: 5000, shardMovePeriodMs: 30_000 };
   const callbacks = {
     onOwnershipChanged: () => undefined,
     requestHandOver: () => undefined,
--- a/test/support/shard-state.ts
+++ b/test/support/shard-state.ts
@@ -47,7 +47,7 @@
   jobs: Job[],
   machines: Machine[],
   overrides: Partial<PlacementInput> = {},
-): PlacementInput & { reportMs: number } {
+): PlacementInput & { heartbeatIntervalMs: number } {
   return {
     jobs,
     machines,
@@ -61,9 +61,9 @@
     termToken: 0,
     reservedQuota: new Map(),
     preemptionReservations: new Map(),
-    resumeAt: null,
+    resumeAtJob: null,
     starvationReservations: new Map(),
-    reportMs: 2000,
+    heartbeatIntervalMs: 2000,
     ...overrides,
   };
 }
--- a/test/support/simulation.ts
+++ b/test/support/simulation.ts
@@ -123,7 +123,7 @@
     mock.method(crypto, "randomUUID", () => `${this.pick(2 ** 31)}-${this.pick(2 ** 31)}`);
     this.nodes = Array.from({ length: count }, (_, i) => new SimulatedNode(`node-${i}`, i, ZONES[i % 2]!));
     this.settings = this.settingsOf(this.nodes[0]!);
-    const { reportMs, leaseMs } = this.settings.workers;
+    const { heartbeatIntervalMs: reportMs, leaseMs } = this.settings.workers;
     this.workers = { reportMs, leaseMs, bootMs: 2000, runMs: 20_000, timeoutMs: 4000, retryMs: RETRY_MS };
     this.cloud = new Cloud(
       {
