--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -1,5 +1,5 @@
 /**
- * The client of the cloud: calls stay within a rate limit, answers are checked, and a failed call is told from one that
+ * The client of the cloud: calls stay within a rate limit, answers are checked, and failed calls differ from those that
  * the cloud has declined.
  */
 import type { z } from "zod";
--- a/src/membership/cluster-records.ts
+++ b/src/membership/cluster-records.ts
@@ -48,7 +48,7 @@
   incarnation,
 });
 
-/** The value of a shard's record whose owner advances its token: `advanceId` tells the write from all others. */
+/** The value of a shard's record whose owner advances its token: no other write has the same `advanceId`. */
 export const encodeTokenAdvance = (owner: ControllerInstance, advanceId: string): StoredController => ({
   ...encodeController(owner),
   mark: advanceId,
--- a/src/membership/membership-lease.ts
+++ b/src/membership/membership-lease.ts
@@ -1,5 +1,5 @@
 /**
- * This process's membership lease: acquires it, renews it, and tells how long it can be proven to last. Another
+ * This process's membership lease: acquires it, renews it, and knows how long it can be proven to last. Another
  * controller may be given this process's shards only after the lease has ended in the state store, which is never before
  * it has ended here.
  */
--- a/src/state/keys.ts
+++ b/src/state/keys.ts
@@ -41,7 +41,7 @@
   completedTasksChunk: (id: string, chunk: number) => `${LIVE_PREFIX}done/${id}/${chunk}`,
   /**
    * Machines of one shard that were rented or registered together: written by the leader, and by the shard's owner when it
-   * drains or transfers machines; removed by whoever takes the last machine out of it.
+   * drains or transfers machines; removed with the last machine in it.
    */
   machineGroup: (name: string) => `${LIVE_PREFIX}machines/${name}`,
   /**
--- a/src/state/state-store-client.ts
+++ b/src/state/state-store-client.ts
@@ -1,6 +1,6 @@
 /**
  * The operations of the state store. Every call stays within this controller's share of the common rate limits, every
- * answer is checked, and every failure tells whether the request can have had an effect.
+ * answer is checked, and every failure states whether the request can have had an effect.
  */
 import type * as z from "zod";
 import type { SteadyClock } from "../runtime/clock.js";
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -1,10 +1,13 @@
 /** The rate limiter, the read barrier and the replica. */
 import assert from "node:assert/strict";
 import { describe, mock, test } from "node:test";
+import { NoResponseError, type JsonClient } from "../src/runtime/json-client.js";
 import { RateLimiter } from "../src/runtime/rate-limiter.js";
 import { ReadBarrier } from "../src/state/read-barrier.js";
 import { Replica } from "../src/state/replica.js";
 import { keys, prefixes } from "../src/state/keys.js";
+import { StateStoreClient } from "../src/state/state-store-client.js";
+import { receivedResponse, StateStoreError } from "../src/state/state-store-error.js";
 import type { RecordChange } from "../src/wire/index.js";
 
 const nextTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
@@ -105,3 +108,43 @@
     assert.equal(replica.get(endedKey), undefined);
   });
 });
+
+/** The error with which a read fails if each of its requests ends as given. */
+async function errorOfRead(call: JsonClient["call"]): Promise<StateStoreError> {
+  const http = { call };
+  const limits = { rps: 10, writeRps: 10, txnOps: 8 };
+  // Each look at the clock is past the deadline of the call: there is no retry.
+  let now = 0;
+  const client = new StateStoreClient({
+    http,
+    watchHttp: http,
+    limits,
+    controllers: 1,
+    clock: () => ++now,
+    timeoutMs: 0,
+  });
+  const error = await client.read(keys.leader).catch((err: unknown) => err);
+  assert.ok(error instanceof StateStoreError);
+  return error;
+}
+
+void describe("state/state-store-client", () => {
+  test("an error states whether the request may have been executed, and whether there was an answer", async () => {
+    for (const status of [400, 429, 503]) {
+      const error = await errorOfRead(() => Promise.resolve({ status, body: {} }));
+      assert.deepEqual([error.outcome, error.status], ["rejected", status]);
+      assert.equal(receivedResponse(error), true);
+    }
+    const failed = await errorOfRead(() => Promise.resolve({ status: 500, body: {} }));
+    assert.deepEqual([failed.outcome, failed.status], ["unknown", 500]);
+    const unusable = await errorOfRead(() => Promise.resolve({ status: 200, body: "no record" }));
+    assert.deepEqual([unusable.outcome, unusable.status], ["unknown", null]);
+  });
+
+  test("an error without an answer has an unknown outcome and the failed exchange as its cause", async () => {
+    const cause = new NoResponseError("GET", "/kv", "timed out");
+    const error = await errorOfRead(() => Promise.reject(cause));
+    assert.deepEqual([error.outcome, error.status, error.cause], ["unknown", null, cause]);
+    assert.equal(receivedResponse(error), false);
+  });
+});
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -1,10 +1,12 @@
-/** Records made by hand, and a view of them such as the replica gives. */
+/** Builders of records, and a replica that is written by hand. */
 import { pino } from "pino";
 import type { RecordChange, RecordEntry, JobSpec, MachineType } from "../../src/wire/index.js";
 import type { ReplicaView } from "../../src/state/replica.js";
 
+/** A log that writes nothing. */
 export const silent = pino({ level: "silent" });
 
+/** A replica that is written by hand. */
 export class FakeView implements ReplicaView {
   revision = 0;
   completeAsOf = 0;
@@ -15,7 +17,7 @@
   }
 
   list(prefix: string): RecordEntry[] {
-    return [...this.entries.values()].filter((e) => e.key.startsWith(prefix));
+    return [...this.entries.values()].filter((entry) => entry.key.startsWith(prefix));
   }
 
   put(key: string, value: unknown, version: number): RecordChange {
@@ -32,6 +34,7 @@
   }
 }
 
+/** A machine type without anything special. */
 export const smallType: MachineType = {
   name: "small",
   cpus: 4,
@@ -45,7 +48,8 @@
   zones: ["north", "south"],
 };
 
-export function jobSpec(id: string, over: Partial<JobSpec> = {}): JobSpec {
+/** A job of one small task, but for what is given. */
+export function jobSpec(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
     className: "batch",
@@ -66,6 +70,6 @@
     checkpointS: 0,
     saveS: 0,
     deadlineS: null,
-    ...over,
+    ...overrides,
   };
 }
--- a/test/support/state-service.ts
+++ b/test/support/state-service.ts
@@ -1,7 +1,10 @@
-/** A stand-in for the state service, from its published protocol. */
+/**
+ * A fake of the state service, written from its published protocol, whose names it keeps: a `hold` is a lease, a `stamp` the
+ * version of a key, the `epoch` the revision of the store.
+ */
 import { listen, type Listening, type Reply } from "./http.js";
 
-interface Stored {
+interface StoredRecord {
   value: unknown;
   stamp: number;
   hold: number | undefined;
@@ -18,21 +21,22 @@
 
 interface Hold {
   lifeMs: number;
+  /** Ends the lease. */
   timer: NodeJS.Timeout;
 }
 
-/** The records and what may be asked of them, over whatever network. */
+/** The records, the leases and the operations on them, without a network. */
 export class StateStore {
-  /** Nodes that get 503 while others are served; their open watches wait. */
+  /** Nodes whose requests get 503 while others are served; their open watches wait. */
   readonly refused = new Set<number>();
-  /** How many requests have come, of all kinds. */
+  /** How many requests of all kinds have arrived. */
   requests = 0;
-  /** Told of every change as it is made. */
+  /** Called with every change when it is made. */
   onChange: (change: Change) => void = () => undefined;
   private outage = false;
   private epoch = 0;
   private nextHold = 1;
-  private readonly store = new Map<string, Stored>();
+  private readonly store = new Map<string, StoredRecord>();
   private readonly holds = new Map<number, Hold>();
   private readonly changes: Change[] = [];
   private readonly watchers = new Set<() => void>();
@@ -44,7 +48,7 @@
 
   set down(down: boolean) {
     this.outage = down;
-    // No lease ends in an outage, and after it every one has its full time again.
+    // No lease ends in an outage, and after it every lease has its full length again.
     for (const [id, hold] of this.holds) {
       clearTimeout(hold.timer);
       if (!down) this.arm(id, hold);
@@ -52,7 +56,7 @@
   }
 
   keys(prefix: string): string[] {
-    return [...this.store.keys()].filter((k) => k.startsWith(prefix));
+    return [...this.store.keys()].filter((key) => key.startsWith(prefix));
   }
 
   value(key: string): unknown {
@@ -89,7 +93,7 @@
     return { status: 200, body: { hold: Number(renewed[1]) } };
   }
 
-  /** A transaction that was sent earlier is carried out now: its answer reaches nobody, and no outage stops it. */
+  /** Executes a transaction that was sent earlier: its answer is lost, and no outage stops it. */
   carryOut(body: unknown): void {
     this.commit(body as Transaction);
   }
@@ -103,34 +107,41 @@
 
   private end(id: number): void {
     this.holds.delete(id);
-    const removals = [...this.store].filter(([, s]) => s.hold === id).map(([key]) => ({ remove: key }));
+    const removals = [...this.store]
+      .filter(([, record]) => record.hold === id)
+      .map(([key]) => ({ remove: key }));
     if (removals.length > 0) this.apply(removals);
   }
 
   private apply(operations: Operation[]): void {
     this.epoch++;
     const stamp = this.epoch;
-    for (const op of operations) {
-      if ("put" in op) {
-        this.store.set(op.put, { value: op.value, stamp, hold: op.hold });
-        this.note({ put: op.put, value: op.value, stamp });
-      } else if (this.store.delete(op.remove)) this.note({ remove: op.remove, stamp });
+    for (const operation of operations) {
+      if ("put" in operation) {
+        const { put, value, hold } = operation;
+        this.store.set(put, { value, stamp, hold });
+        this.recordChange({ put, value, stamp });
+      } else if (this.store.delete(operation.remove)) this.recordChange({ remove: operation.remove, stamp });
     }
     for (const wake of [...this.watchers]) wake();
   }
 
-  private note(change: Change): void {
+  private recordChange(change: Change): void {
     this.changes.push(change);
     this.onChange(change);
   }
 
   private commit(transaction: Transaction): Reply {
     const failed = (transaction.guards ?? [])
-      .filter((g) => (this.store.get(g.path)?.stamp ?? 0) !== g.stamp)
-      .map((g) => g.path);
+      .filter(({ path, stamp }) => (this.store.get(path)?.stamp ?? 0) !== stamp)
+      .map(({ path }) => path);
     if (failed.length > 0) return { status: 409, body: { failed, epoch: this.epoch } };
     const operations = transaction.apply ?? [];
-    if (operations.some((op) => "put" in op && op.hold !== undefined && !this.holds.has(op.hold)))
+    if (
+      operations.some(
+        (change) => "put" in change && change.hold !== undefined && !this.holds.has(change.hold),
+      )
+    )
       return { status: 400, body: { error: "no such lease" } };
     if (operations.length > 0) this.apply(operations);
     return { status: 200, body: { epoch: this.epoch } };
@@ -169,27 +180,28 @@
     const after = url.searchParams.get("since") ?? "";
     const limit = Number(url.searchParams.get("limit") ?? 1000);
     const all = this.keys(prefix)
-      .filter((k) => k > after)
+      .filter((key) => key > after)
       .sort();
     const items = all.slice(0, limit).map((path) => ({ path, ...this.store.get(path)! }));
     return { status: 200, body: { items, truncated: all.length > limit, epoch: this.epoch } };
   }
 }
 
+/** A fake of the state service that listens. */
 export interface StateStandIn {
   store: StateStore;
-  /** One for each node: each may be refused alone. */
+  /** An address for each node, so that each can be refused alone. */
   addresses: string[];
   close(): void;
 }
 
-/** What may become of a transaction on its way: nothing, its answer is lost, or it is carried out late. */
+/** What happens to a transaction: it is executed and answered, its answer is lost, or it is executed late. */
 export type TransactionFate = "answered" | "answer_lost" | { lateMs: number };
 
-/** No answer ever comes. */
+/** An answer that never comes. */
 const never = (): Promise<Reply> => new Promise(() => undefined);
 
-/** The stand-in on loopback. */
+/** Starts the fake on loopback, with a server for each node. */
 export async function stateService(
   nodes: number,
   fateOf: () => TransactionFate = () => "answered",
@@ -205,15 +217,15 @@
       }, fate.lateMs).unref();
     return never();
   };
-  const door = (node: number): Promise<Listening> =>
+  const listenForNode = (node: number): Promise<Listening> =>
     listen((method, url, body) => handle(node, method, url, body));
-  const doors = await Promise.all(Array.from({ length: nodes }, (_, node) => door(node)));
+  const servers = await Promise.all(Array.from({ length: nodes }, (_, node) => listenForNode(node)));
   return {
     store,
-    addresses: doors.map((d) => d.address),
+    addresses: servers.map((server) => server.address),
     close: () => {
       store.close();
-      for (const door of doors) door.close();
+      for (const server of servers) server.close();
     },
   };
 }
