--- a/eslint.config.js
+++ b/eslint.config.js
@@ -146,13 +146,20 @@
     plugins: { jsdoc },
     rules: {
       "local/module-comment": "error",
+      // Tests are lists of cases and may be longer; in the program each file and function has one job.
+      complexity: ["error", 13],
+      "max-depth": ["error", 3],
+      "max-lines": ["error", { max: 300, skipBlankLines: true, skipComments: true }],
+      "max-lines-per-function": ["error", { max: 40, skipBlankLines: true, skipComments: true }],
       "jsdoc/require-jsdoc": [
         "error",
         {
           publicOnly: true,
           enableFixer: false,
-          require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: false },
+          checkConstructors: false,
+          require: { ClassDeclaration: true, FunctionDeclaration: true, MethodDefinition: true },
           contexts: [
+            "ExportNamedDeclaration > VariableDeclaration",
             "ExportNamedDeclaration > TSInterfaceDeclaration",
             "ExportNamedDeclaration > TSTypeAliasDeclaration",
           ],
--- a/src/links/degradation-state.ts
+++ b/src/links/degradation-state.ts
@@ -21,10 +21,12 @@
 
   constructor(private readonly dependencies: DegradationStateDependencies) {}
 
+  /** The links that count as lost, as of the last update. */
   get losses(): ReadonlySet<Loss> {
     return this.currentLosses;
   }
 
+  /** The rules for all activities, as of the last update. */
   get rules(): Rules {
     return this.currentRules;
   }
--- a/src/links/link-table.ts
+++ b/src/links/link-table.ts
@@ -32,6 +32,7 @@
       }
   }
 
+  /** Both directions of all links. */
   all(): IterableIterator<TrackEntry> {
     return this.entries.values();
   }
--- a/src/links/observed-json-client.ts
+++ b/src/links/observed-json-client.ts
@@ -35,6 +35,11 @@
     private readonly options: ObservedJsonClientOptions,
   ) {}
 
+  /**
+   * Makes a call and reports its outcome.
+   *
+   * @throws NoResponseError as the observed client does
+   */
   async call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
     const { link, isRefusal: refused, sink, clock, timed } = this.options;
     const sentAt = clock();
--- a/src/peers/framing.ts
+++ b/src/peers/framing.ts
@@ -23,6 +23,7 @@
     super({ readableObjectMode: true });
   }
 
+  /** Splits the bytes received so far into frames; a frame that cannot be read ends the stream with its FrameError. */
   override _transform(chunk: Buffer, _encoding: string, done: TransformCallback): void {
     this.pending = this.pending.byteLength === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     try {
--- a/src/peers/observed-peer-network.ts
+++ b/src/peers/observed-peer-network.ts
@@ -20,18 +20,26 @@
     private readonly sink: ObservationSink,
   ) {}
 
+  /** When any peer last answered; steady time in milliseconds. */
   get lastResponseAt(): number {
     return this.network.lastResponseAt;
   }
 
+  /** The exchange of link views; null while no link monitor runs. */
   get viewExchange(): LinkViewExchange | null {
     return this.network.viewExchange;
   }
 
+  /** Sets the exchange of link views for all connections. */
   set viewExchange(exchange: LinkViewExchange | null) {
     this.network.viewExchange = exchange;
   }
 
+  /**
+   * Sends a request to a peer and reports whether it was answered.
+   *
+   * @throws PeerUnreachableError where the peer does not answer in time
+   */
   async request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
     const link = peerLink(node);
     try {
@@ -46,10 +54,12 @@
     }
   }
 
+  /** Listens to peers' requests; resolves to the port. */
   listen(address: string, handler: PeerHandler): Promise<number> {
     return this.network.listen(address, handler);
   }
 
+  /** Closes the server and all connections. */
   close(): void {
     this.network.close();
   }
--- a/src/peers/tcp-peer-network.ts
+++ b/src/peers/tcp-peer-network.ts
@@ -28,21 +28,29 @@
     );
   }
 
+  /**
+   * Sends a request to a peer.
+   *
+   * @throws PeerUnreachableError where the peer does not answer in time, or is not in the settings
+   */
   async request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
     const connection = this.connections.get(node);
     if (connection === undefined) throw new PeerUnreachableError(node, "unknown_node");
     return connection.request(request, timeoutMs);
   }
 
+  /** When any peer last answered; steady time in milliseconds. */
   get lastResponseAt(): number {
     return Math.max(...[...this.connections.values()].map((connection) => connection.lastResponseAt));
   }
 
+  /** Listens to peers' requests; resolves to the port. */
   listen(address: string, handler: PeerHandler): Promise<number> {
     this.server = new PeerServer({ handler, log: this.log, viewExchange: () => this.viewExchange });
     return this.server.listen(address);
   }
 
+  /** Closes the server and all connections. */
   close(): void {
     this.server?.close();
     for (const connection of this.connections.values()) connection.close();
--- a/src/runtime/actor.ts
+++ b/src/runtime/actor.ts
@@ -30,6 +30,7 @@
   /** Handles one message. */
   protected abstract receive(message: Message): void;
 
+  /** Processes one message; called by the stream, one message at a time. */
   override _write(message: Message, _encoding: string, done: () => void): void {
     try {
       this.receive(message);
--- a/src/runtime/rate-limiter.ts
+++ b/src/runtime/rate-limiter.ts
@@ -58,6 +58,7 @@
     this.tokensPerSecond = tokensPerSecond;
   }
 
+  /** The refill rate, in units of cost per second. */
   get rate(): number {
     return this.tokensPerSecond;
   }
--- a/src/state/replica.ts
+++ b/src/state/replica.ts
@@ -37,6 +37,7 @@
     super({ objectMode: true, highWaterMark: 1 });
   }
 
+  /** The record of a key; undefined where the replica has none. */
   get(key: string): RecordEntry | undefined {
     return this.entriesByKind.get(kindOf(key))?.get(key);
   }
@@ -59,6 +60,7 @@
     this.changeListeners.push(listener);
   }
 
+  /** Applies one watch event; called by the stream, in order. */
   override _write(event: WatchEvent, _encoding: string, done: () => void): void {
     const changes = this.applyEvent(event);
     this.revision = Math.max(this.revision, event.revision);
