--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -4,18 +4,10 @@
 import type { LinkName } from "../src/links/model.js";
 import { LinkMonitor } from "../src/links/monitor.js";
 import { ACTIVITIES } from "../src/links/degradation-policy.js";
-import { deriveLinkTimings, linkSettingsSchema } from "../src/links/settings.js";
 import { encodeView, VIEW_VERSION } from "../src/links/link-view.js";
+import { defaultLinkTimings, HEARTBEAT_INTERVAL_MS, TICK_MS } from "./support/link-timings.js";
 import { silent } from "./support/records.js";
 
-const TICK_MS = 400;
-const INPUTS = {
-  heartbeatIntervalMs: 2000,
-  leaseMs: 10_000,
-  callTimeoutMs: 1000,
-  tickMs: TICK_MS,
-  shardMovePeriodMs: 30_000,
-};
 const PEERS = ["b", "c", "d"];
 
 /** A monitor, a clock that counts who looks at it, and the probes that were sent. */
@@ -28,7 +20,7 @@
       incarnation: "a.1",
       peers: PEERS,
       mode,
-      timings: deriveLinkTimings(linkSettingsSchema.parse({}), INPUTS),
+      timings: defaultLinkTimings(),
       probes: { cloudRps: 4, controllers: 4, share: 0.02 },
       misroutedWindowMs: 8000,
       maxMachines: 10_000,
@@ -106,7 +98,7 @@
     monitor.tell({ kind: "observed", observation: { kind: "refused", link: "state" } });
   }
   assert.ok(
-    counts.probes.length <= PEERS.length * (60_000 / INPUTS.heartbeatIntervalMs),
+    counts.probes.length <= PEERS.length * (60_000 / HEARTBEAT_INTERVAL_MS),
     `${counts.probes.length} probes`,
   );
 });
@@ -118,7 +110,7 @@
     tick();
     for (let k = 0; k < 20; k++) if (monitor.outgoing("b") !== undefined) sent++;
   }
-  assert.ok(sent <= 60_000 / (INPUTS.heartbeatIntervalMs / 2), `${sent} views a minute`);
+  assert.ok(sent <= 60_000 / (HEARTBEAT_INTERVAL_MS / 2), `${sent} views a minute`);
 });
 
 // Fails if a monitor that only observes counts hand-overs, or keeps shards from peers.
--- a/test/links-traces.test.ts
+++ b/test/links-traces.test.ts
@@ -2,19 +2,10 @@
 import { pino } from "pino";
 import { LinkMonitor, type LinkMonitorOptions } from "../src/links/monitor.js";
 import type { Direction, LinkName, Observation } from "../src/links/model.js";
-import { deriveLinkTimings, linkSettingsSchema } from "../src/links/settings.js";
 import { encodeView, VIEW_VERSION } from "../src/links/link-view.js";
+import { defaultLinkTimings, TICK_MS } from "./support/link-timings.js";
 import { list, number, traceTests, type Step, type TraceEvent } from "./support/trace.js";
 
-const TICK_MS = 400;
-const INPUTS = {
-  heartbeatIntervalMs: 2000,
-  leaseMs: 10_000,
-  callTimeoutMs: 1000,
-  tickMs: TICK_MS,
-  shardMovePeriodMs: 30_000,
-};
-
 /** The present term of each shard's owner. */
 const TERM = 7;
 
@@ -43,7 +34,7 @@
   private readonly monitor: LinkMonitor;
 
   constructor() {
-    const timings = deriveLinkTimings(linkSettingsSchema.parse({}), INPUTS);
+    const timings = defaultLinkTimings();
     const options: LinkMonitorOptions = {
       node: "a",
       incarnation: "a.1",
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -19,11 +19,12 @@
   NORMAL_RULES,
   RULES_WITHOUT,
 } from "../src/links/degradation-policy.js";
-import { deriveLinkTimings, linkSettingsSchema, MONITOR_MODES } from "../src/links/settings.js";
+import { MONITOR_MODES } from "../src/links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../src/links/status.js";
 import type { PeerReply, PeerRequest } from "../src/peers/peer-messages.js";
 import { DecisionMetrics, type DecisionReport } from "../src/shards/decision-metrics.js";
 import { assertSameJson, readFixture } from "./support/fixtures.js";
+import { defaultLinkTimings, TICK_MS } from "./support/link-timings.js";
 import { silent } from "./support/records.js";
 import { settingsText } from "./support/settings.js";
 
@@ -70,25 +71,16 @@
 
 const fixture = readFixture("operator-answers") as OperatorFixtures;
 
-const TICK_MS = 400;
-
 /** The status of a controller that the state service refuses, whose workers report and whose peers are quiet. */
 function statusWithoutState(mode: "observe" | "enforce"): LinkStatus {
   let now = 0;
-  const inputs = {
-    heartbeatIntervalMs: 2000,
-    leaseMs: 10_000,
-    callTimeoutMs: 1000,
-    tickMs: TICK_MS,
-    shardMovePeriodMs: 30_000,
-  };
   const monitor = new LinkMonitor(
     {
       node: "node-0",
       incarnation: "node-0.1",
       peers: ["node-1", "node-2"],
       mode,
-      timings: deriveLinkTimings(linkSettingsSchema.parse({}), inputs),
+      timings: defaultLinkTimings(),
       probes: { cloudRps: 4, controllers: 3, share: 0.02 },
       misroutedWindowMs: 8000,
       maxMachines: 100,
