--- /dev/null
+++ b/test/wire-formats.test.ts
@@ -0,0 +1,166 @@
+/** The JSON bodies and paths on the wire to workers, users, the cloud and the state service. */
+import assert from "node:assert/strict";
+import { describe, test } from "node:test";
+import { JobRequestHandler } from "../src/http/users.js";
+import type { JobService, LookResult, SubmitResult } from "../src/jobs/service.js";
+import {
+  acceptedToWire,
+  cloudReturnToWire,
+  commandsToWire,
+  leaseToWire,
+  parseReport,
+  paths,
+  redirectToWire,
+  rentalToWire,
+  statusToWire,
+  transactionToWire,
+  type JobStage,
+  type TaskReport,
+  type WorkerReport,
+} from "../src/wire/index.js";
+import { submission } from "./support/cluster.js";
+import { assertSameJson, readFixture } from "./support/fixtures.js";
+
+interface WireFixtures {
+  sent: Record<string, unknown>;
+  paths: Record<string, string>;
+  userAnswers: Record<string, unknown>;
+  report: unknown;
+}
+
+const fixture = readFixture("wire-messages") as WireFixtures;
+
+const STAGES: JobStage[] = ["pending", "running", "done", "cancelled"];
+const task = { job: "req-000412", index: 7, attempt: 3 };
+const rental = { name: "fp-1", type: "large", zone: "north", spot: true, count: 20 };
+
+/** Messages that the fixture has under the same names. */
+const sent: Record<string, object> = {
+  "worker: commands": commandsToWire(41, [
+    { op: "start", ...task },
+    { op: "stop", ...task, graceS: 2.5 },
+    { op: "forget", ...task },
+  ]),
+  "worker: no commands": commandsToWire(41, []),
+  "worker: redirect to the owner": redirectToWire("node-1"),
+  "worker: redirect to an unknown owner": redirectToWire(null),
+  "user: status": STAGES.map((stage) => statusToWire({ id: "req-000412", stage, done: 5, running: 2 })),
+  "user: accepted": STAGES.map((stage) => acceptedToWire("req-000412", stage)),
+  "cloud: rental": rentalToWire(rental),
+  "cloud: rental of a record with more fields": rentalToWire({ ...rental, ...{ parts: [], since: 1 } }),
+  "cloud: return": cloudReturnToWire(["i-000001", "i-000002"]),
+  "state: transaction": transactionToWire(
+    [
+      { key: "fernpond/live/leader", version: 12 },
+      { key: "fernpond/live/jobs/req-1", version: 0 },
+    ],
+    [
+      { put: "fernpond/live/members/node-0", value: { node: "node-0" }, lease: 9 },
+      { put: "fernpond/live/jobs/req-1", value: null },
+      { remove: "fernpond/live/orders/fp-1" },
+    ],
+  ),
+  "state: empty transaction": transactionToWire([], []),
+  "state: lease": leaseToWire(5000),
+};
+
+const key = "fernpond/live/jobs/";
+const pathsInUse: Record<string, string> = {
+  "users: health": paths.health,
+  "users: submit": paths.submit,
+  "users: job": paths.job.source,
+  "users: cancel": paths.cancel.source,
+  "workers: report": paths.report,
+  "cloud: types": paths.cloud.types,
+  "cloud: rent": paths.cloud.rent,
+  "cloud: return": paths.cloud.returnMachines,
+  "cloud: first page of the list": paths.cloud.list(undefined, 500),
+  "cloud: next page of the list": paths.cloud.list("i-000 1", 500),
+  "state: value": paths.state.value(`${key}req-1`),
+  "state: first page": paths.state.page(key, undefined, 500),
+  "state: next page": paths.state.page(key, `${key}req-1`, 500),
+  "state: transaction": paths.state.transaction,
+  "state: leases": paths.state.leases,
+  "state: renew": paths.state.renew(9),
+  "state: lease": paths.state.lease(9),
+  "state: changes": paths.state.changes("fernpond/", 41, 10_000),
+};
+
+/** The report of the fixture as the program has it: a task for each exit cause, and one for each other state. */
+function expectedReport(): WorkerReport {
+  const ended = { job: "req-000412", attempt: 3, state: "exited", saved: false } as const;
+  const causes = ["done", "stopped", "error", "no_room", "busy", "unknown", "error", "error"] as const;
+  const live = ["fetching", "running", "saving"] as const;
+  const tasks: TaskReport[] = [
+    ...causes.map((cause, index) => ({ ...ended, index, cause, saved: cause === "stopped" })),
+    ...live.map((state, index) => ({ ...ended, index: causes.length + index, state, cause: null })),
+  ];
+  const machine = { host: "i-000001", address: "10.0.0.9:9000", type: "large", zone: "north", spot: true };
+  return { ...machine, session: 2, seq: 40, token: 41, noticeS: 90, tasks };
+}
+
+/** The answer to a user for given results of the job service. */
+const answerOf = (
+  submitted: SubmitResult,
+  found: LookResult,
+  path: string,
+  method: string,
+  body: unknown,
+) => {
+  const service = { submit: () => submitted, look: () => found, cancel: () => found };
+  return new JobRequestHandler(service as unknown as JobService).answer({ method, path, body });
+};
+
+async function userAnswers(): Promise<Record<string, unknown>> {
+  const status = { id: "req-1", stage: "running", done: 1, running: 2 } as const;
+  const submitted: Record<string, SubmitResult> = {
+    accepted: { kind: "accepted", stage: "pending", fresh: true },
+    known: { kind: "accepted", stage: "done", fresh: false },
+    malformed: { kind: "malformed", reason: "bank: no such zone" },
+    impossible: { kind: "impossible", reason: "unknown team" },
+    unavailable: { kind: "unavailable" },
+  };
+  const found: Record<string, LookResult> = {
+    found: { kind: "found", status },
+    unknown: { kind: "unknown" },
+    unavailable: { kind: "unavailable" },
+  };
+  const answers: Record<string, unknown> = {};
+  const none: LookResult = { kind: "unknown" };
+  const refused: SubmitResult = { kind: "unavailable" };
+  for (const [name, result] of Object.entries(submitted))
+    answers[`submit: ${name}`] = await answerOf(result, none, "/work", "POST", submission("req-1"));
+  for (const [name, result] of Object.entries(found)) {
+    answers[`look: ${name}`] = await answerOf(refused, result, "/work/req-1", "GET", undefined);
+    answers[`cancel: ${name}`] = await answerOf(refused, result, "/work/req-1/withdraw", "POST", undefined);
+  }
+  answers["submit: unreadable"] = await answerOf(refused, none, "/work", "POST", { nameId: "req-1" });
+  answers["wrong method"] = await answerOf(refused, none, "/work/req-1", "PUT", undefined);
+  answers["wrong path"] = await answerOf(refused, none, "/works", "GET", undefined);
+  return answers;
+}
+
+void describe("wire", () => {
+  test("every message has a fixture, and every fixture is checked", () => {
+    assert.deepEqual(Object.keys(sent), Object.keys(fixture.sent));
+  });
+
+  for (const [name, message] of Object.entries(sent))
+    test(`${name}: the body matches the fixture`, () => {
+      assertSameJson(message, fixture.sent[name]);
+    });
+
+  test("paths match the fixture", () => {
+    assertSameJson(pathsInUse, fixture.paths);
+  });
+
+  test("a worker's report is parsed, with every task state and exit cause", () => {
+    assert.deepEqual(parseReport(fixture.report), { ok: true, value: expectedReport() });
+  });
+});
+
+void describe("http/users", () => {
+  test("status, body and Allow header of every kind of answer match the fixture", async () => {
+    assertSameJson(await userAnswers(), fixture.userAnswers);
+  });
+});
