--- a/src/placement/capacity-forecast.ts
+++ b/src/placement/capacity-forecast.ts
@@ -75,11 +75,11 @@
 ): number {
   const waitMs = longestWaitMs(job, input);
   const runtimeMs = expectedRuntimeMs(job, input);
-  const fitsByTime: FutureFit[] = [];
+  const fitsLatestFirst: FutureFit[] = [];
   for (const forecast of forecasts)
-    if (isEligible(job, forecast.machine)) insertEarliestFit(fitsByTime, forecast, job, waitMs);
+    if (isEligible(job, forecast.machine)) insertEarliestFit(fitsLatestFirst, forecast, job, waitMs);
   // A task changes the capacity of its own machine and of no other, so that only this one is considered again.
-  for (let best = fitsByTime.pop(); count > 0 && best !== undefined; best = fitsByTime.pop()) {
+  for (let best = fitsLatestFirst.pop(); count > 0 && best !== undefined; best = fitsLatestFirst.pop()) {
     const { forecast, startsInMs } = best;
     if (tasksByZone !== null && !allowsZone(job, forecast.machine.record.zone, tasksByZone)) continue;
     if (tasksByZone !== null) countZone(tasksByZone, forecast.machine);
@@ -88,31 +88,31 @@
       tasksByZone === null ? Math.min(count, slotsAvailableAt(forecast.timeline, job, startsInMs)) : 1;
     const run = { need: job.spec, tasks, startsInMs, endsInMs: startsInMs + runtimeMs };
     forecast.timeline = reserveCapacity(forecast.timeline, run);
-    insertEarliestFit(fitsByTime, forecast, job, waitMs);
+    insertEarliestFit(fitsLatestFirst, forecast, job, waitMs);
     count -= tasks;
   }
   return count;
 }
 
 function insertEarliestFit(
-  fitsByTime: FutureFit[],
+  fitsLatestFirst: FutureFit[],
   forecast: MachineForecast,
   job: Job,
   waitMs: number,
 ): void {
   const startsInMs = earliestFitMs(forecast.timeline, job, waitMs);
-  if (startsInMs !== null) insertByTime(fitsByTime, { forecast, startsInMs });
+  if (startsInMs !== null) insertByTime(fitsLatestFirst, { forecast, startsInMs });
 }
 
 /** Keeps the earliest last. */
-function insertByTime(fitsByTime: FutureFit[], fit: FutureFit): void {
+function insertByTime(fitsLatestFirst: FutureFit[], fit: FutureFit): void {
   let low = 0;
-  for (let high = fitsByTime.length; low < high;) {
+  for (let high = fitsLatestFirst.length; low < high;) {
     const middle = (low + high) >> 1;
-    if (fitsByTime[middle]!.startsInMs > fit.startsInMs) low = middle + 1;
+    if (fitsLatestFirst[middle]!.startsInMs > fit.startsInMs) low = middle + 1;
     else high = middle;
   }
-  fitsByTime.splice(low, 0, fit);
+  fitsLatestFirst.splice(low, 0, fit);
 }
 
 /**
--- a/src/placement/image-locality.ts
+++ b/src/placement/image-locality.ts
@@ -14,7 +14,7 @@
  *
  * @param hasEnoughImageHolders whether so many machines have the job's image that its tasks need no others
  */
-export function* imageLocalFirst(
+export function* orderByImageLocality(
   machine: Machine,
   queue: QueueEntry[],
   input: PlacementInput,
@@ -40,6 +40,6 @@
   return (
     head.rank === entry.rank &&
     head.deferred === entry.deferred &&
-    entry.latestStart - head.latestStart <= expectedRuntimeMs(head.job, input)
+    entry.latestStartAt - head.latestStartAt <= expectedRuntimeMs(head.job, input)
   );
 }
--- a/src/placement/job-deferral.ts
+++ b/src/placement/job-deferral.ts
@@ -17,7 +17,7 @@
   for (const team of context.teams) {
     if (team.cpusMax <= 0) continue;
     const jobsOfTeam = jobs.filter((job) => job.spec.team === team.name);
-    jobsOfTeam.sort((a, b) => windows.get(a)!.due - windows.get(b)!.due);
+    jobsOfTeam.sort((a, b) => windows.get(a)!.dueAt - windows.get(b)!.dueAt);
     deferLargest(jobsOfTeam, team, windows, context, deferred);
   }
   return deferred;
@@ -40,7 +40,7 @@
     const durationMs = durationWithQuotaMs(job, team, context);
     scheduled.push({ job, durationMs });
     endsAt += durationMs;
-    if (endsAt <= windows.get(job)!.due) continue;
+    if (endsAt <= windows.get(job)!.dueAt) continue;
     const largest = scheduled.reduce((a, b) => (b.durationMs > a.durationMs ? b : a));
     scheduled.splice(scheduled.indexOf(largest), 1);
     endsAt -= largest.durationMs;
--- a/src/placement/job-placement.ts
+++ b/src/placement/job-placement.ts
@@ -57,7 +57,7 @@
 function findCandidates(job: Job, state: RoundState): CandidateMachine[] {
   const candidates: CandidateMachine[] = [];
   for (const capacity of state.capacities) {
-    state.steps++;
+    state.pairsConsidered++;
     const reservedFor = state.reservations.get(capacity.machine);
     if (reservedFor !== undefined && reservedFor !== job) continue;
     if (!fits(capacity, job.spec) || !isEligible(job, capacity.machine)) continue;
@@ -70,9 +70,9 @@
 function fillMachine(capacity: MachineCapacity, allocation: JobAllocation): boolean {
   const { job, state, tasksByZone, placedIndexes } = allocation;
   const { machine } = capacity;
-  while (mayTakeMore(capacity, allocation)) {
+  while (canTakeTask(capacity, allocation)) {
     if (tasksByZone !== null && !allowsZone(job, machine.record.zone, tasksByZone)) break;
-    const index = nextUnplacedTask(job, placedIndexes);
+    const index = nextUnplacedIndex(job, placedIndexes);
     if (index === null) return false;
     placedIndexes.add(index);
     state.starts.push({ job, index, machine });
@@ -84,7 +84,7 @@
   return true;
 }
 
-function mayTakeMore(
+function canTakeTask(
   capacity: MachineCapacity,
   { job, state, team, usage, placedIndexes }: JobAllocation,
 ): boolean {
@@ -95,7 +95,7 @@
   );
 }
 
-function nextUnplacedTask(job: Job, placedIndexes: Set<number>): number | null {
+function nextUnplacedIndex(job: Job, placedIndexes: Set<number>): number | null {
   for (let i = job.nextWaiting() ?? job.spec.tasks; i < job.spec.tasks; i++)
     if (!job.done.has(i) && !job.active.has(i) && !placedIndexes.has(i)) return i;
   return null;
--- a/src/placement/job-queue.ts
+++ b/src/placement/job-queue.ts
@@ -11,14 +11,14 @@
 export interface QueueEntry {
   job: Job;
   /** When the job was accepted, in time of day, if it is starving; Infinity if not. */
-  starvingSince: number;
+  starvingAcceptedAt: number;
   rank: number;
   /** 1 for a job that has migrated here from the shard of its team. */
   migratedIn: number;
   /** 1 for a job that is deferred because its team's quota cannot hold all in time. */
   deferred: number;
   /** The latest start for its objectives, in time of day. */
-  latestStart: number;
+  latestStartAt: number;
 }
 
 /** The waiting jobs that may start, in the order in which they are served. */
@@ -43,12 +43,12 @@
   const deferred = jobsToDefer(jobs, windows, context);
   const entries = jobs.map((job) => ({
     job,
-    starvingSince: isStarving(job, context) ? job.acceptedAt : Infinity,
+    starvingAcceptedAt: isStarving(job, context) ? job.acceptedAt : Infinity,
     // Normal and lower priorities share one rank.
     rank: Math.max(NORMAL_RANK, priorityRank(job)),
     migratedIn: job.migratedIn ? 1 : 0,
     deferred: deferred.has(job) ? 1 : 0,
-    latestStart: windows.get(job)!.latestStart,
+    latestStartAt: windows.get(job)!.latestStartAt,
   }));
   return entries.sort(compareEntries);
 }
@@ -56,11 +56,13 @@
 function compareEntries(left: QueueEntry, right: QueueEntry): number {
   return (
     // The difference of two infinities is not a number.
-    (left.starvingSince === right.starvingSince ? 0 : left.starvingSince - right.starvingSince) ||
+    (left.starvingAcceptedAt === right.starvingAcceptedAt
+      ? 0
+      : left.starvingAcceptedAt - right.starvingAcceptedAt) ||
     right.rank - left.rank ||
     left.migratedIn - right.migratedIn ||
     left.deferred - right.deferred ||
-    left.latestStart - right.latestStart ||
+    left.latestStartAt - right.latestStartAt ||
     (left.job.spec.id < right.job.spec.id ? -1 : 1)
   );
 }
--- a/src/placement/machine-capacity.ts
+++ b/src/placement/machine-capacity.ts
@@ -42,13 +42,13 @@
   input: PlacementInput,
   machines: Iterable<Machine>,
 ): MachineCapacity[] {
-  const least = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
+  const minNeed = { cpus: Infinity, gpus: Infinity, memoryGb: Infinity };
   for (const { job } of queue) {
-    least.cpus = Math.min(least.cpus, job.spec.cpus);
-    least.gpus = Math.min(least.gpus, job.spec.gpus);
-    least.memoryGb = Math.min(least.memoryGb, job.spec.memoryGb);
+    minNeed.cpus = Math.min(minNeed.cpus, job.spec.cpus);
+    minNeed.gpus = Math.min(minNeed.gpus, job.spec.gpus);
+    minNeed.memoryGb = Math.min(minNeed.memoryGb, job.spec.memoryGb);
   }
-  return machinesWithCapacity(input, machines).filter((capacity) => fits(capacity, least));
+  return machinesWithCapacity(input, machines).filter((capacity) => fits(capacity, minNeed));
 }
 
 function machinesWithCapacity(input: PlacementInput, machines: Iterable<Machine>): MachineCapacity[] {
--- a/src/placement/machine-forecast.ts
+++ b/src/placement/machine-forecast.ts
@@ -86,8 +86,8 @@
 /** What comes free beside the tasks of a run, and again after it. Changes the parts of the given timeline. */
 export function reserveCapacity(timeline: FutureCapacity[], run: FutureRun): FutureCapacity[] {
   const { need, tasks, startsInMs, endsInMs } = run;
-  const unmet = { cpus: need.cpus * tasks, gpus: need.gpus * tasks, memoryGb: need.memoryGb * tasks };
-  const released: FutureCapacity = { availableInMs: endsInMs, ...unmet };
+  const outstanding = { cpus: need.cpus * tasks, gpus: need.gpus * tasks, memoryGb: need.memoryGb * tasks };
+  const released: FutureCapacity = { availableInMs: endsInMs, ...outstanding };
   const remaining: FutureCapacity[] = [];
   for (const part of timeline) {
     if (part.availableInMs > startsInMs) {
@@ -95,9 +95,9 @@
       continue;
     }
     for (const kind of RESOURCE_KINDS) {
-      const amount = Math.min(unmet[kind], part[kind]);
+      const amount = Math.min(outstanding[kind], part[kind]);
       part[kind] -= amount;
-      unmet[kind] -= amount;
+      outstanding[kind] -= amount;
     }
     if (RESOURCE_KINDS.some((kind) => part[kind] > ROUNDING_TOLERANCE)) remaining.push(part);
   }
--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -76,9 +76,9 @@
     return { maxParallelTasks: Infinity, reservation: null, migratedIn };
   const usage = quota.byTeam.get(spec.team)!;
   const maxParallelTasks = Math.min(spec.tasks, tasksWithinLimit(team, usage, quota.unreconciled, spec));
-  const maxEver = Math.min(spec.tasks, tasksWithinLimit(team, NO_USAGE, NO_USAGE, spec));
+  const maxWithUnusedQuota = Math.min(spec.tasks, tasksWithinLimit(team, NO_USAGE, NO_USAGE, spec));
   // Guards against a job that goes on with a task or two at a time where its own shard would soon let all of it run.
-  if (maxParallelTasks < maxEver) return null;
+  if (maxParallelTasks < maxWithUnusedQuota) return null;
   const cpus = maxParallelTasks * spec.cpus;
   const gpus = maxParallelTasks * spec.gpus;
   return { maxParallelTasks, reservation: { team: spec.team, cpus, gpus }, migratedIn };
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -2,7 +2,7 @@
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
-import { imageLocalFirst } from "./image-locality.js";
+import { orderByImageLocality } from "./image-locality.js";
 import { placeWithinQuota } from "./job-placement.js";
 import type { QueueEntry } from "./job-queue.js";
 import { capacityForQueue } from "./machine-capacity.js";
@@ -15,10 +15,10 @@
 export interface PlacementRound {
   starts: TaskStart[];
   /** The id of the job at which the next round goes on; null when the whole queue was considered. */
-  resumeAtJob: string | null;
+  resumeAtJobId: string | null;
   reservations: Map<Machine, Job>;
   /** How many machines were considered for how many jobs: what the round cost, whatever the processor. */
-  steps: number;
+  pairsConsidered: number;
 }
 
 /**
@@ -35,7 +35,7 @@
 ): PlacementRound {
   const capacities = capacityForQueue(queue, input, input.machines);
   const state = beginRound(input, capacities, new Map(input.preemptionReservations));
-  const first = firstPosition(queue, input);
+  const first = startPosition(queue, input);
   // Machines stay reserved for the jobs before the resumed one.
   if (first > 0)
     for (const [machine, job] of input.starvationReservations) state.reservations.set(machine, job);
@@ -49,14 +49,17 @@
 }
 
 /** The position in the queue at which the round begins. */
-function firstPosition(queue: QueueEntry[], { resumeAtJob: resumeAt }: PlacementInput): number {
-  if (resumeAt === null) return 0;
-  const position = queue.findIndex(({ job }) => job.spec.id === resumeAt);
+function startPosition(queue: QueueEntry[], { resumeAtJobId }: PlacementInput): number {
+  if (resumeAtJobId === null) return 0;
+  const position = queue.findIndex(({ job }) => job.spec.id === resumeAtJobId);
   return Math.max(0, position);
 }
 
-function resultOf({ starts, reservations, steps }: RoundState, resumeAt: string | null): PlacementRound {
-  return { starts, resumeAtJob: resumeAt, reservations, steps };
+function resultOf(
+  { starts, reservations, pairsConsidered }: RoundState,
+  resumeAtJobId: string | null,
+): PlacementRound {
+  return { starts, resumeAtJobId, reservations, pairsConsidered };
 }
 
 /**
@@ -74,9 +77,9 @@
   const reservations = new Map([...input.starvationReservations, ...input.preemptionReservations]);
   const capacities = capacityForQueue(queue, input, [machine]);
   // Most machines that send heartbeats are full: quota usage is not added up for them.
-  if (capacities.length === 0) return { starts: [], resumeAtJob: null, reservations, steps: 0 };
+  if (capacities.length === 0) return { starts: [], resumeAtJobId: null, reservations, pairsConsidered: 0 };
   const state = beginRound(input, capacities, reservations);
-  for (const job of imageLocalFirst(machine, queue, input, hasEnoughImageHolders))
+  for (const job of orderByImageLocality(machine, queue, input, hasEnoughImageHolders))
     placeWithinQuota(job, state);
   return resultOf(state, null);
 }
--- a/src/placement/preemptable-capacity.ts
+++ b/src/placement/preemptable-capacity.ts
@@ -21,7 +21,7 @@
 export interface PreemptableCapacity extends Resources {
   machine: Machine;
   /** What may be preempted here: the lowest priority first, and of that what has started last. */
-  victims: Placement[];
+  candidateVictims: Placement[];
 }
 
 /** What will soon be free on all machines on which tasks may start. Subtracts the tasks that end from the usage. */
@@ -45,7 +45,7 @@
   usageByTeam: Map<string, QuotaUsage>,
 ): PreemptableCapacity {
   const { cpus, gpus, memoryGb } = type;
-  const capacity: PreemptableCapacity = { machine, cpus, gpus, memoryGb, victims: [] };
+  const capacity: PreemptableCapacity = { machine, cpus, gpus, memoryGb, candidateVictims: [] };
   for (const placement of machine.placements) {
     const { job } = placement;
     if (placement.stop !== null || job.terminating || endsSoon(placement, type, input)) {
@@ -53,9 +53,11 @@
       continue;
     }
     subtractResources(capacity, job.spec);
-    if (isCheapToStop(placement, input)) capacity.victims.push(placement);
+    if (isCheapToStop(placement, input)) capacity.candidateVictims.push(placement);
   }
-  capacity.victims.sort((a, b) => priorityRank(a.job) - priorityRank(b.job) || b.stateSince - a.stateSince);
+  capacity.candidateVictims.sort(
+    (a, b) => priorityRank(a.job) - priorityRank(b.job) || b.stateSince - a.stateSince,
+  );
   return capacity;
 }
 
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -25,7 +25,7 @@
 export interface Preemption {
   victims: Placement[];
   /** The machines on which tasks are stopped, and the job for which. */
-  reserved: Map<Machine, Job>;
+  reservations: Map<Machine, Job>;
 }
 
 /** What the preemptions chosen so far leave. */
@@ -46,7 +46,7 @@
   clock: SteadyClock = () => 0,
   deadlineAt = Infinity,
 ): Preemption {
-  const chosen: Preemption = { victims: [], reserved: new Map() };
+  const chosen: Preemption = { victims: [], reservations: new Map() };
   const jobs = [...input.jobs];
   const waiting = jobs.filter(
     (job) => job.waiting > 0 && isStartable(job, input) && isTooUrgentToProvision(job, input),
@@ -112,10 +112,10 @@
   for (const victim of victims) {
     addResources(capacity, victim.job.spec);
     subtractUsage(quota.byTeam.get(victim.job.spec.team)!, victim.job.spec);
-    capacity.victims.splice(capacity.victims.indexOf(victim), 1);
+    capacity.candidateVictims.splice(capacity.candidateVictims.indexOf(victim), 1);
     chosen.victims.push(victim);
   }
-  if (victims.length > 0) chosen.reserved.set(capacity.machine, job);
+  if (victims.length > 0) chosen.reservations.set(capacity.machine, job);
   subtractResources(capacity, job.spec);
   addUsage(usage, job.spec);
   countZone(tasksByZone, capacity.machine);
--- a/src/placement/round-state.ts
+++ b/src/placement/round-state.ts
@@ -26,7 +26,7 @@
   /** Teams of which nothing more starts in this round, by name. */
   readonly blockedTeams: Set<string>;
   /** How many machines were considered for how many jobs. */
-  steps: number;
+  pairsConsidered: number;
 }
 
 /** The state of a round that has decided nothing yet. */
@@ -42,6 +42,6 @@
     starts: [],
     reservations,
     blockedTeams: new Set(),
-    steps: 0,
+    pairsConsidered: 0,
   };
 }
--- a/src/placement/scheduling-context.ts
+++ b/src/placement/scheduling-context.ts
@@ -25,7 +25,7 @@
   /** What is reserved of teams' limits for jobs that have migrated to other shards. */
   reservedQuota: ReadonlyMap<string, QuotaUsage>;
   /** The id of the job at which the last round ran out of time. */
-  resumeAtJob: string | null;
+  resumeAtJobId: string | null;
   /** Machines reserved for a starving job, and the job that each is reserved for. */
   starvationReservations: ReadonlyMap<Machine, Job>;
   /** Machines on which tasks were preempted for a job, until the job has had the time to start there. */
--- a/src/placement/slo-window.ts
+++ b/src/placement/slo-window.ts
@@ -7,15 +7,15 @@
 /** The tasks of one job differ, and the last one to end counts: windows allow for it. */
 const RUNTIME_MARGIN = 1.3;
 /** A job without objectives should start within so many provisioning times, by priority. */
-const START_WITHIN_PROVISIONING_TIMES = { critical: 0, urgent: 1, normal: 2, best_effort: 8 };
+const START_DELAY_IN_PROVISIONING_TIMES = { critical: 0, urgent: 1, normal: 2, best_effort: 8 };
 /** A job that has missed all its objectives waits behind those that have not, until so many times its last one. */
 const MISSED_SLO_FACTOR = 2;
 
 /** When a job should start and end for one objective, in milliseconds of the time of day. */
 export interface SloWindow {
-  latestStart: number;
+  latestStartAt: number;
   /** When the job is due if it starts at the latest. */
-  due: number;
+  dueAt: number;
 }
 
 /** The window of one objective. */
@@ -40,13 +40,13 @@
   let nearest: SloWindow | null = null;
   for (const window of windows)
     if (
-      window.latestStart >= context.wallNow &&
-      (nearest === null || window.latestStart < nearest.latestStart)
+      window.latestStartAt >= context.wallNow &&
+      (nearest === null || window.latestStartAt < nearest.latestStartAt)
     )
       nearest = window;
   if (nearest !== null) return nearest;
-  const latestStart = job.acceptedAt + fallbackDelayMs(job, windows, context);
-  return { latestStart, due: latestStart + times.runtimeMs + times.imagePullMs };
+  const latestStartAt = job.acceptedAt + fallbackDelayMs(job, windows, context);
+  return { latestStartAt, dueAt: latestStartAt + times.runtimeMs + times.imagePullMs };
 }
 
 function longestImagePullMs(job: Job, context: SchedulingContext): number {
@@ -59,25 +59,25 @@
   const { spec } = job;
   const runAndPullMs = times.runtimeMs + times.imagePullMs;
   const windows: ObjectiveWindow[] = [];
-  if (spec.deadlineS !== null) windows.push(windowWithin(job, spec.deadlineS * 1000, runAndPullMs, times));
+  if (spec.deadlineS !== null) windows.push(objectiveWindow(job, spec.deadlineS * 1000, runAndPullMs, times));
   for (const { className, kind, withinS } of objectives) {
     if (className !== spec.className || withinS === null) continue;
-    if (kind === "finished") windows.push(windowWithin(job, withinS * 1000, runAndPullMs, times));
-    if (kind === "wait") windows.push(windowWithin(job, withinS * 1000, times.imagePullMs, times));
+    if (kind === "finished") windows.push(objectiveWindow(job, withinS * 1000, runAndPullMs, times));
+    if (kind === "wait") windows.push(objectiveWindow(job, withinS * 1000, times.imagePullMs, times));
   }
   return windows;
 }
 
 /** `leadMs`: how long before the objective's time the tasks must be started. */
-function windowWithin(job: Job, withinMs: number, leadMs: number, times: TaskTimes): ObjectiveWindow {
-  const latestStart = job.acceptedAt + withinMs - leadMs;
-  return { withinMs, latestStart, due: latestStart + times.runtimeMs + times.imagePullMs };
+function objectiveWindow(job: Job, withinMs: number, leadMs: number, times: TaskTimes): ObjectiveWindow {
+  const latestStartAt = job.acceptedAt + withinMs - leadMs;
+  return { withinMs, latestStartAt, dueAt: latestStartAt + times.runtimeMs + times.imagePullMs };
 }
 
 /** How long after it was accepted a job without an objective that can still be met should start. */
 function fallbackDelayMs(job: Job, windows: ObjectiveWindow[], context: SchedulingContext): number {
   if (windows.length === 0)
-    return START_WITHIN_PROVISIONING_TIMES[job.spec.priority] * provisioningMs(job, context);
+    return START_DELAY_IN_PROVISIONING_TIMES[job.spec.priority] * provisioningMs(job, context);
   let lastWithinMs = 0;
   for (const { withinMs } of windows) lastWithinMs = Math.max(lastWithinMs, withinMs);
   return MISSED_SLO_FACTOR * lastWithinMs;
@@ -85,7 +85,7 @@
 
 /** The latest start, in time of day, by which the nearest objective that can still be met is met. */
 export function latestStartTime(job: Job, context: SchedulingContext): number {
-  return sloWindowOf(job, context).latestStart;
+  return sloWindowOf(job, context).latestStartAt;
 }
 
 /**
--- a/src/placement/starvation.ts
+++ b/src/placement/starvation.ts
@@ -4,19 +4,26 @@
 import type { SchedulingContext } from "./scheduling-context.js";
 
 /** A job is starving if none of its tasks has started by this fraction of the time in which all must start. */
-const STARVING_BEFORE_FIRST_TASK = 0.5;
+const STARVATION_FRACTION_BEFORE_FIRST_START = 0.5;
 /** Once started, a job is starving if it still waits after so many times that time. */
-const STARVING_BETWEEN_TASKS = 1.5;
+const STARVATION_FACTOR_AFTER_FIRST_START = 1.5;
 /** A migrated job uses what the shard's own jobs leave for longer than that. */
-const STARVING_BETWEEN_TASKS_MIGRATED = 3;
+const STARVATION_FACTOR_AFTER_FIRST_START_MIGRATED = 3;
 /** A reservation for a starving job alternates: on and off for this fraction of the time in which nobody waits with free capacity. */
-const RESERVATION_PERIOD = 2 / 3;
+const RESERVATION_PERIOD_FRACTION = 2 / 3;
 
 /** For how many milliseconds a job has been starving; negative before that. */
 function starvingForMs(job: Job, context: Pick<SchedulingContext, "wallNow">): number {
   const ageMs = context.wallNow - job.acceptedAt;
-  const betweenTasks = job.migratedIn ? STARVING_BETWEEN_TASKS_MIGRATED : STARVING_BETWEEN_TASKS;
-  return ageMs - MAX_START_DELAY_S * 1000 * (job.hasStarted ? betweenTasks : STARVING_BEFORE_FIRST_TASK);
+  const factorAfterFirstStart = job.migratedIn
+    ? STARVATION_FACTOR_AFTER_FIRST_START_MIGRATED
+    : STARVATION_FACTOR_AFTER_FIRST_START;
+  return (
+    ageMs -
+    MAX_START_DELAY_S *
+      1000 *
+      (job.hasStarted ? factorAfterFirstStart : STARVATION_FRACTION_BEFORE_FIRST_START)
+  );
 }
 
 /**
@@ -35,5 +42,7 @@
 export function needsReservation(job: Job, context: Pick<SchedulingContext, "wallNow">): boolean {
   const overdueMs = starvingForMs(job, context);
   if (overdueMs <= 0 || job.active.size > 0) return false;
-  return Math.floor(overdueMs / (RESERVATION_PERIOD * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000)) % 2 === 0;
+  return (
+    Math.floor(overdueMs / (RESERVATION_PERIOD_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000)) % 2 === 0
+  );
 }
--- a/src/placement/victim-search.ts
+++ b/src/placement/victim-search.ts
@@ -44,7 +44,7 @@
   let best: PreemptionChoice | null = null;
   for (const capacity of capacities) {
     // Victims are sorted by priority: where the first is no lower, none is, and most machines are skipped here.
-    const [lowest] = capacity.victims;
+    const [lowest] = capacity.candidateVictims;
     const hasLowerVictim = lowest !== undefined && priorityRank(lowest.job) < priorityRank(job);
     if (!hasLowerVictim && (isQuotaExhausted || !fits(capacity, job.spec))) continue;
     if (!allowsZone(job, capacity.machine.record.zone, tasksByZone)) continue;
@@ -69,7 +69,7 @@
   const usageAfter = { ...search.usage };
   const isWithinQuotaAfter = (): boolean => isWithinQuota(team, usageAfter, unreconciled, job.spec);
   const isEnough = (): boolean => fits(free, job.spec) && isWithinQuotaAfter();
-  for (const victim of capacity.victims) {
+  for (const victim of capacity.candidateVictims) {
     if (isEnough() || priorityRank(victim.job) >= priorityRank(job)) break;
     if (!mayPreempt(victim, search)) continue;
     const isOfSameTeam = victim.job.spec.team === job.spec.team;
--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -72,7 +72,7 @@
     }
     this.imageHolders.recount(this.dependencies.machines.byHost.values());
     const round = placeRound(input, this.queue, clock, deadline);
-    this.resumeAtJob = round.resumeAtJob;
+    this.resumeAtJob = round.resumeAtJobId;
     const started = this.applyRound(round, token, now);
     const load = measureLoad(input);
     this.hasSpareCapacity = load.cpus - load.usedCpus > SPARE_CAPACITY_FRACTION * load.cpus;
@@ -114,7 +114,7 @@
       recovered: machines.isReconciled,
       termToken,
       reservedQuota: quotaReservations.usage,
-      resumeAtJob: this.resumeAtJob,
+      resumeAtJobId: this.resumeAtJob,
       starvationReservations: this.starvationReservations,
       preemptionReservations: this.preemptionReservations.active(now),
     };
--- a/src/shards/task-eviction.ts
+++ b/src/shards/task-eviction.ts
@@ -33,7 +33,7 @@
   preempt(input: PlacementInput, clock: SteadyClock, deadline: number): void {
     const { shard, reservations, heartbeatIntervalMs, log } = this.dependencies;
     const preemptionInput = { ...input, heartbeatIntervalMs };
-    const { victims, reserved } = choosePreemptions(preemptionInput, clock, deadline);
+    const { victims, reservations: reserved } = choosePreemptions(preemptionInput, clock, deadline);
     let longestGraceMs = 0;
     for (const victim of victims) {
       const graceS = victim.job.spec.checkpointS > 0 ? victim.job.spec.saveS : 0;
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -15,7 +15,7 @@
 
 const { teams } = testSettings();
 
-const wholeRound = (input: PlacementInput, clock = () => 0, deadlineAt = 1): PlacementRound =>
+const fullRound = (input: PlacementInput, clock = () => 0, deadlineAt = 1): PlacementRound =>
   placeRound(input, buildQueue(input), clock, deadlineAt);
 
 void describe("placement/placement-round", () => {
@@ -23,11 +23,11 @@
     const jobs = ["req-1", "req-2", "req-3"].map((id, i) => newJob(id, {}, NOW + i));
     const machine = newMachine("i-1");
     // Each look at the clock takes all of the time there is: one job a round.
-    const round = wholeRound(placementInput(jobs, [machine]), () => 10, 5);
-    assert.deepEqual([round.starts.length, round.resumeAtJob], [1, "req-2"]);
-    const next = wholeRound(placementInput(jobs, [machine], { resumeAtJob: "req-2" }), () => 0, 5);
+    const round = fullRound(placementInput(jobs, [machine]), () => 10, 5);
+    assert.deepEqual([round.starts.length, round.resumeAtJobId], [1, "req-2"]);
+    const next = fullRound(placementInput(jobs, [machine], { resumeAtJobId: "req-2" }), () => 0, 5);
     assert.deepEqual(
-      [next.starts.map((start) => start.job.spec.id), next.resumeAtJob],
+      [next.starts.map((start) => start.job.spec.id), next.resumeAtJobId],
       [["req-2", "req-3"], null],
     );
   });
@@ -36,14 +36,14 @@
     const few = [newMachine("i-0"), newMachine("i-1")];
     const many = Array.from({ length: 400 }, (_, i) => newMachine(`i-${i}`));
     const jobs = ["req-1", "req-2", "req-3"].map((id) => newJob(id, { tasks: 50 }));
-    const stepsWith = (machines: Machine[]): number => {
+    const pairsWith = (machines: Machine[]): number => {
       const input = placementInput(jobs, machines);
       const round = placeOnMachine(machines[0]!, buildQueue(input), input, () => false);
       assert.ok(round.starts.length > 0 && round.starts.every((start) => start.machine === machines[0]));
-      return round.steps;
+      return round.pairsConsidered;
     };
-    assert.equal(stepsWith(many), stepsWith(few));
-    assert.ok(stepsWith(many) <= jobs.length);
+    assert.equal(pairsWith(many), pairsWith(few));
+    assert.ok(pairsWith(many) <= jobs.length);
   });
 });
 
@@ -55,7 +55,7 @@
       newMachine("i-3", { spot: true }),
     ];
     startTask(fuller, newJob("req-1"), 0);
-    const { starts } = wholeRound(placementInput([newJob("req-2", { tasks: 8 })], [onDemand, empty, fuller]));
+    const { starts } = fullRound(placementInput([newJob("req-2", { tasks: 8 })], [onDemand, empty, fuller]));
     assert.deepEqual(
       starts.map((start) => start.machine.host),
       ["i-3", "i-3", "i-3", "i-2", "i-2", "i-2", "i-2", "i-1"],
@@ -66,7 +66,7 @@
     const [cheap, near] = [newMachine("i-1", { spot: true }), newMachine("i-2")];
     near.images.add("img-1");
     const hostsFor = (priority: JobSpec["priority"]) =>
-      wholeRound(placementInput([newJob("req-1", { priority })], [cheap, near])).starts.map(
+      fullRound(placementInput([newJob("req-1", { priority })], [cheap, near])).starts.map(
         (start) => start.machine.host,
       );
     assert.deepEqual([hostsFor("urgent"), hostsFor("normal")], [["i-2"], ["i-1"]]);
@@ -80,7 +80,7 @@
     for (let i = 0; i < 3; i++) startTask(machine, small, i);
     const large = newJob("req-2", { cpus: 4, priority: "best_effort" }, NOW - 150_000);
     const input = placementInput([small, large], [machine]);
-    const round = wholeRound(input);
+    const round = fullRound(input);
     // One processor is free, and the small tasks that wait do not get it.
     assert.deepEqual([round.starts.length, round.reservations.get(machine)], [0, large]);
     assert.equal(
@@ -93,7 +93,7 @@
       0,
     );
     for (const placement of [...machine.placements]) endTask(placement);
-    const next = wholeRound({ ...input, starvationReservations: round.reservations });
+    const next = fullRound({ ...input, starvationReservations: round.reservations });
     assert.deepEqual(
       next.starts.map((start) => start.job),
       [large],
@@ -111,9 +111,9 @@
     const input = placementInput([running, large, later, free], [machine, other]);
     const startedJobs = (round: PlacementRound): string[] =>
       round.starts.map((start) => start.job.spec.id).sort();
-    assert.deepEqual(startedJobs(wholeRound(input)), ["req-3"]);
+    assert.deepEqual(startedJobs(fullRound(input)), ["req-3"]);
     // Nobody may wait with free capacity for a minute and a half: the jobs behind it get their turn before that.
-    assert.deepEqual(startedJobs(wholeRound({ ...input, wallNow: NOW + 40_000 })), ["req-3", "req-4"]);
+    assert.deepEqual(startedJobs(fullRound({ ...input, wallNow: NOW + 40_000 })), ["req-3", "req-4"]);
   });
 });
 
@@ -161,7 +161,7 @@
     };
     const waiting = newJob("req-9", { cpus: 4 });
     const chosenHost = (): string | undefined =>
-      wholeRound(placementInput([waiting], [usual, slow])).starts.map((start) => start.machine.host)[0];
+      fullRound(placementInput([waiting], [usual, slow])).starts.map((start) => start.machine.host)[0];
     // Whatever the estimate: a job whose tasks all take twice as long proves nothing about the machine.
     const underestimated = newJob("req-1", { tasks: 20, estimateS: 10 });
     for (let i = 0; i < 20; i++) complete(slow, underestimated, i, 20_000);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -46,18 +46,18 @@
     const urgent = newJob("req-2", { cpus: 3, priority: "urgent" });
     const input = placementInput([low, urgent], [machine]);
     // The one that has long outrun its estimate may run for long: both must be stopped for three processors.
-    const { victims, reserved } = choosePreemptions(input);
-    assert.deepEqual([victims.length, reserved.get(machine)], [2, urgent]);
+    const { victims, reservations } = choosePreemptions(input);
+    assert.deepEqual([victims.length, reservations.get(machine)], [2, urgent]);
     for (const victim of victims) endTask(victim);
     // Less urgent work does not use the capacity before the job that it was released for has had its turn.
-    const withoutUrgent = { ...input, jobs: [low], preemptionReservations: reserved };
+    const withoutUrgent = { ...input, jobs: [low], preemptionReservations: reservations };
     const lowQueue = buildQueue(withoutUrgent);
     assert.equal(placeRound(withoutUrgent, lowQueue, () => 0, 1).starts.length, 0);
     assert.equal(
       placeOnMachine(machine, buildQueue(withoutUrgent), withoutUrgent, () => false).starts.length,
       0,
     );
-    const withUrgent = { ...input, preemptionReservations: reserved };
+    const withUrgent = { ...input, preemptionReservations: reservations };
     assert.deepEqual(
       placeRound(withUrgent, buildQueue(withUrgent), () => 0, 1).starts.map((start) => start.job),
       [urgent],
--- a/test/support/shard-state.ts
+++ b/test/support/shard-state.ts
@@ -61,7 +61,7 @@
     termToken: 0,
     reservedQuota: new Map(),
     preemptionReservations: new Map(),
-    resumeAtJob: null,
+    resumeAtJobId: null,
     starvationReservations: new Map(),
     heartbeatIntervalMs: 2000,
     ...overrides,
