--- a/src/placement/capacity-forecast.ts
+++ b/src/placement/capacity-forecast.ts
@@ -1,6 +1,6 @@
 /**
- * Which waiting tasks the machines of the shard can take in time, as running tasks end. Only the others are worth
- * renting machines for: a machine takes its boot time to come, and by then the queue may be empty. Pure.
+ * Forecasts which waiting tasks the shard's machines can take in time as running tasks end. Machines are rented only
+ * for the others: a rented machine must boot first, and by then the queue may be empty. Pure.
  */
 import type { MachineType } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
@@ -17,23 +17,23 @@
 import type { PlacementInput, SchedulingContext } from "./scheduling-context.js";
 import { latestStartTime } from "./slo-window.js";
 
-/** How much of a job's slack may be spent on waiting for running tasks that should end. */
+/** The fraction of a job's slack that may be spent waiting for running tasks to end. */
 const TRUSTED_SLACK_FRACTION = 0.3;
 
-/** What the forecast is made from. */
+/** The input of the forecast. */
 export interface CapacityForecastInput extends SchedulingContext, Pick<PlacementInput, "machines" | "now"> {
-  /** Waiting jobs and how many of their tasks may run, by their teams' quotas. */
+  /** For each waiting job, how many of its tasks may run within its team's quota. */
   waiting: Map<Job, number>;
 }
 
-/** Tasks of a job that will not find capacity in time, and the only zone where a machine for them is of use, if any. */
+/** Tasks of a job that need a rented machine, and the zone that the machine must be in; null for any zone. */
 export interface UnmetDemand {
   job: Job;
   count: number;
   zone: string | null;
 }
 
-/** The waiting tasks for which running ones will not release capacity in time. */
+/** The waiting tasks that will not fit on the shard's machines in time, even as running tasks end. */
 export function forecastUnmetDemand(input: CapacityForecastInput): UnmetDemand[] {
   const unmet: UnmetDemand[] = [];
   if (input.waiting.size === 0) return unmet;
@@ -51,21 +51,21 @@
   return oneZone || (spread && tasks > 1);
 }
 
-/** How long a job's tasks may wait before an objective is at risk; at least what provisioning would take. */
+/** How long a job's tasks may wait for capacity before an objective is at risk; at least the provisioning time. */
 function longestWaitMs(job: Job, input: CapacityForecastInput): number {
   const provisioning = provisioningMs(job, input);
   const slack = latestStartTime(job, input) - input.wallNow;
-  // Estimates are often off by half, and more urgent jobs may yet come: only a part of the slack is counted on.
+  // Run-time estimates are often off by half, and more urgent jobs may arrive: use only a fraction of the slack.
   return Math.max(slack * TRUSTED_SLACK_FRACTION, provisioning);
 }
 
-/** A machine that can take tasks of the job, and in how many milliseconds. */
+/** A machine on which a task of the job will fit, and in how many milliseconds from now. */
 interface FutureFit {
   forecast: MachineForecast;
   startsInMs: number;
 }
 
-/** Assigns as many of `count` tasks to capacity that comes free in time as fit there. Returns how many are left. */
+/** Assigns up to `count` tasks to capacity that becomes free in time. Returns how many remain unassigned. */
 function assignFutureCapacity(
   job: Job,
   count: number,
@@ -78,12 +78,12 @@
   const fitsLatestFirst: FutureFit[] = [];
   for (const forecast of forecasts)
     if (isEligible(job, forecast.machine)) insertEarliestFit(fitsLatestFirst, forecast, job, waitMs);
-  // A task changes the capacity of its own machine and of no other, so that only this one is considered again.
+  // Assigning tasks changes the timeline of one machine only: only that machine is inserted again.
   for (let best = fitsLatestFirst.pop(); count > 0 && best !== undefined; best = fitsLatestFirst.pop()) {
     const { forecast, startsInMs } = best;
     if (tasksByZone !== null && !allowsZone(job, forecast.machine.record.zone, tasksByZone)) continue;
     if (tasksByZone !== null) countZone(tasksByZone, forecast.machine);
-    // All that fits there at that time is assigned at once: guards against a huge array costing a look for every task.
+    // Assigns all tasks that fit there at that time in one step: large arrays must not cost a search per task.
     const tasks =
       tasksByZone === null ? Math.min(count, slotsAvailableAt(forecast.timeline, job, startsInMs)) : 1;
     const run = { need: job.spec, tasks, startsInMs, endsInMs: startsInMs + runtimeMs };
@@ -104,7 +104,7 @@
   if (startsInMs !== null) insertByTime(fitsLatestFirst, { forecast, startsInMs });
 }
 
-/** Keeps the earliest last. */
+/** Inserts by binary search; the list is sorted by start time, latest first, so that `pop` returns the earliest. */
 function insertByTime(fitsLatestFirst: FutureFit[], fit: FutureFit): void {
   let low = 0;
   for (let high = fitsLatestFirst.length; low < high;) {
@@ -116,8 +116,8 @@
 }
 
 /**
- * Guards against renting, again and again, where no more of the job may run: a job that must be in one zone needs
- * machines where its tasks are, and one that must be spread needs them wherever half of it is not yet.
+ * Splits unmet demand by zone, so that no machine is rented in a zone where the job may not run more tasks. A `oneZone`
+ * job needs machines in the zone of its tasks; a `spread` job needs them in zones that hold less than half of it.
  */
 function splitByZone(
   job: Job,
@@ -139,7 +139,7 @@
   return parts;
 }
 
-/** All zones in which machines for the job can be rented. */
+/** The zones in which machines of the types that the job accepts can be rented. */
 function zonesOffered({ spec }: Job, types: Map<string, MachineType>): Set<string> {
   const zones = new Set<string>();
   for (const type of types.values())
--- a/src/placement/capacity.ts
+++ b/src/placement/capacity.ts
@@ -1,10 +1,10 @@
-/** How many tasks fit into a capacity. Pure. */
+/** Computes whether and how many tasks fit into free capacity. Pure. */
 import type { Resources } from "../workers/resources.js";
 
-/** How far sums of fractions may be off because of rounding. */
+/** The tolerance for rounding errors in sums of fractional resources. */
 export const ROUNDING_TOLERANCE = 1e-9;
 
-/** Whether one task fits into the free capacity; rounding errors of sums are tolerated. */
+/** Whether one task fits into free capacity, within `ROUNDING_TOLERANCE`. */
 export function fits(free: Resources, need: Resources): boolean {
   return (
     free.cpus + ROUNDING_TOLERANCE >= need.cpus &&
@@ -13,7 +13,7 @@
   );
 }
 
-/** How many such tasks a capacity holds, such as that of an empty machine of a type; one where they need nothing. */
+/** How many tasks that need `need` fit into a capacity, such as that of an empty machine; 1 if they need nothing. */
 export function slotsPerMachine(need: Resources, capacity: Resources): number {
   const slots = Math.min(
     slotsOf(capacity.cpus, need.cpus),
--- a/src/placement/eligibility.ts
+++ b/src/placement/eligibility.ts
@@ -1,20 +1,21 @@
-/** When and where tasks of a job may start, by the job's constraints and the owner's term. Pure. */
+/** Whether and where tasks of a job may start, given its constraints and the owner's term. Pure. */
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 
-/** What an owner's term says about jobs from before it. */
+/** The state of the owner's term that decides whether jobs accepted in earlier terms may start. */
 export interface OwnershipTerm {
   /** Steady time in milliseconds. */
   now: number;
-  /** Whether every machine of the shard has sent a heartbeat in this term, or its lease has surely expired. */
+  /** Whether every machine of the shard has sent a heartbeat in this term or its lease has certainly expired. */
   recovered: boolean;
-  /** The version of the shard record with which this owner's term began. */
+  /** The version of the shard record at the start of this owner's term. */
   termToken: number;
 }
 
 /**
- * Whether tasks of a job may start now. Guards against `ran_twice`: a job of an older term may run on any machine that
- * has not been reconciled yet, so that it waits for all of them. A job accepted in this term cannot.
+ * Whether tasks of a job may start now. A job of an earlier term may be running on any machine that has not been
+ * reconciled, so it waits until all are: otherwise a task could run twice (`ran_twice`). A job accepted in this term
+ * cannot be running elsewhere.
  */
 export function isStartable(job: Job, term: OwnershipTerm): boolean {
   return (
@@ -25,7 +26,7 @@
   );
 }
 
-/** Whether a job may run on a machine by its instance pool, and has not failed there lately. */
+/** Whether a job accepts the machine's type, zone and spot status, and has not recently failed there. */
 export function isEligible(job: Job, machine: Machine): boolean {
   const { spec } = job;
   const { record } = machine;
@@ -37,7 +38,7 @@
   );
 }
 
-/** How many tasks of a job are in each zone, all counted that are not proven gone. */
+/** The number of a job's tasks in each zone, including every attempt that is not proven gone. */
 export function countTasksByZone(job: Job): Map<string, number> {
   const tasksByZone = new Map<string, number>();
   for (const { machine } of job.active.values()) countZone(tasksByZone, machine);
@@ -49,13 +50,13 @@
   tasksByZone.set(record.zone, (tasksByZone.get(record.zone) ?? 0) + 1);
 }
 
-/** Whether one more task of a job may run in a zone, with its other tasks where they are. */
+/** Whether one more task of a job may run in a zone, given the zones of its other tasks. */
 export function allowsZone(job: Job, zone: string, tasksByZone: Map<string, number>): boolean {
   if (job.spec.oneZone) for (const other of tasksByZone.keys()) if (other !== zone) return false;
   return !job.spec.spread || (tasksByZone.get(zone) ?? 0) < maxTasksPerZone(job);
 }
 
-/** How many tasks of a job that must be spread may run in one zone. */
+/** The maximum number of tasks per zone for a job with the `spread` constraint: half of them, rounded up. */
 export function maxTasksPerZone(job: Job): number {
   return Math.ceil(job.spec.tasks / 2);
 }
--- a/src/placement/image-locality.ts
+++ b/src/placement/image-locality.ts
@@ -1,4 +1,4 @@
-/** The order in which one machine serves the queue, with the images that it has taken into account. */
+/** Orders the queue for one machine, preferring jobs whose image the machine has. */
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 import { isStartable } from "./eligibility.js";
@@ -8,11 +8,12 @@
 import { isStarving } from "./starvation.js";
 
 /**
- * The queue as this machine is to serve it. Fetching an image holds a task's processors and gains nothing, so that of
- * two jobs that can wait about alike the one whose image is here goes first, if the other has enough machines with its
- * own. About alike: of one rank, and with latest starts within a task's run of each other.
+ * Yields the startable jobs of the queue in the order in which this machine takes them. Pulling an image occupies a
+ * task's CPUs without progress. A job whose image is missing here is therefore postponed behind jobs of similar
+ * priority, if enough other machines have its image and it is not starving. Priority is similar if rank and deferral
+ * are equal and the latest start is at most the expected run time of a task after that of the first postponed job.
  *
- * @param hasEnoughImageHolders whether so many machines have the job's image that its tasks need no others
+ * @param hasEnoughImageHolders whether the machines that have the job's image can hold all of its waiting tasks
  */
 export function* orderByImageLocality(
   machine: Machine,
--- a/src/placement/job-deferral.ts
+++ b/src/placement/job-deferral.ts
@@ -1,17 +1,17 @@
-/** Which jobs to defer where a team's quota cannot hold all of its jobs in time. Pure. */
+/** Chooses the jobs to defer if a team's quota is too small for all of its jobs to be in time. Pure. */
 import type { Team } from "../config/settings.js";
 import type { Job } from "../workers/job.js";
 import { expectedRuntimeMs } from "./runtime-estimates.js";
 import type { SchedulingContext } from "./scheduling-context.js";
 import type { SloWindow } from "./slo-window.js";
 
-/** A job and how long it takes with all of its team's quota. */
+/** A job and its duration if it uses the whole CPU quota of its team. */
 interface ScheduledJob {
   job: Job;
   durationMs: number;
 }
 
-/** The jobs that cannot be in time because of their teams' quotas, so that others can be. */
+/** The jobs to defer so that as many other jobs of their teams as possible are in time. */
 export function jobsToDefer(jobs: Job[], windows: Map<Job, SloWindow>, context: SchedulingContext): Set<Job> {
   const deferred = new Set<Job>();
   for (const team of context.teams) {
@@ -24,8 +24,8 @@
 }
 
 /**
- * Moore's rule for one machine, which leaves the most jobs in time: takes jobs by due time, and defers the largest so
- * far whenever one would be late.
+ * The Moore-Hodgson algorithm, which minimizes the number of late jobs on one machine; here the team's CPU quota is the
+ * machine. Schedules jobs by due time, and defers the longest one scheduled so far whenever a job would be late.
  */
 function deferLargest(
   jobsByDueTime: Job[],
--- a/src/placement/job-placement.ts
+++ b/src/placement/job-placement.ts
@@ -1,4 +1,4 @@
-/** Where the tasks of one job start in a round of placement: bin packing within the team's quota. */
+/** Places the tasks of one job during a placement round: bin packing within the team's quota. */
 import type { Team } from "../config/settings.js";
 import type { Job } from "../workers/job.js";
 import { fits } from "./capacity.js";
@@ -10,7 +10,10 @@
 import type { RoundState } from "./round-state.js";
 import { needsReservation } from "./starvation.js";
 
-/** Places what fits of one job. A starving one at its team's limit blocks the team's later jobs. */
+/**
+ * Places as many tasks of a job as capacity and quota allow. If a job that needs a reservation has reached its team's
+ * limit, no later job of the team starts in this round: they would use the quota that the starving job waits for.
+ */
 export function placeWithinQuota(job: Job, state: RoundState): void {
   const { team: teamName } = job.spec;
   if (state.blockedTeams.has(teamName)) return;
@@ -21,32 +24,33 @@
     state.blockedTeams.add(teamName);
 }
 
-/** A machine that could take a task of the job. */
+/** A machine on which a task of the job fits, and its score; the highest score is the best. */
 interface CandidateMachine {
   capacity: MachineCapacity;
   score: number;
 }
 
-/** How far the placement of one job has come. */
+/** The progress of placing one job in the current round. */
 interface JobAllocation {
   job: Job;
   state: RoundState;
   team: Team | undefined;
-  /** What the job's team uses. */
+  /** The usage of the job's team, including the tasks placed in this round. */
   usage: QuotaUsage;
-  /** How many tasks of the job are in each zone; null where the zone does not matter. */
+  /** The number of the job's tasks in each zone; null if the job has no zone constraint. */
   tasksByZone: Map<string, number> | null;
-  /** The numbers of the tasks placed in this round. */
+  /** The indexes of the tasks placed in this round. */
   placedIndexes: Set<number>;
 }
 
 function placeJob(job: Job, state: RoundState, team: Team | undefined, usage: QuotaUsage): void {
   if (!isWithinQuota(team, usage, state.quota.unreconciled, job.spec)) return;
-  // Guards against a faulty job that fills machine after machine with tasks that fail: one is enough to tell.
+  // A suspected faulty job runs one task at a time: one failure is enough to detect the fault, and otherwise failing
+  // tasks would occupy machine after machine.
   if (job.suspectedFaulty && job.active.size > 0) return;
   const candidates = findCandidates(job, state);
   if (candidates.length === 0) return;
-  // A machine that takes a task becomes fuller and so still better: each is filled before the next is considered.
+  // The score rises as a machine fills up: each machine is filled before the next one is considered.
   candidates.sort((a, b) => b.score - a.score);
   const { oneZone, spread } = job.spec;
   const tasksByZone = oneZone || spread ? countTasksByZone(job) : null;
@@ -66,7 +70,7 @@
   return candidates;
 }
 
-/** Starts as many tasks of the job on a machine as may. False if none may start on any other machine either. */
+/** Places as many tasks of the job on a machine as allowed. Returns false if no other machine may take one either. */
 function fillMachine(capacity: MachineCapacity, allocation: JobAllocation): boolean {
   const { job, state, tasksByZone, placedIndexes } = allocation;
   const { machine } = capacity;
--- a/src/placement/job-queue.ts
+++ b/src/placement/job-queue.ts
@@ -1,4 +1,4 @@
-/** The order in which waiting jobs are served. Pure. */
+/** Orders waiting jobs for placement. Pure. */
 import type { Job } from "../workers/job.js";
 import { isStartable } from "./eligibility.js";
 import { jobsToDefer } from "./job-deferral.js";
@@ -7,36 +7,37 @@
 import { sloWindowOf } from "./slo-window.js";
 import { isStarving } from "./starvation.js";
 
-/** A waiting job and what its position in the queue comes from. */
+/** A waiting job and the sort keys that decide its position in the queue. */
 export interface QueueEntry {
   job: Job;
-  /** When the job was accepted, in time of day, if it is starving; Infinity if not. */
+  /** When the job was accepted, in milliseconds of wall-clock time, if it is starving; Infinity if not. */
   starvingAcceptedAt: number;
+  /** The priority rank; normal and lower priorities share one. */
   rank: number;
-  /** 1 for a job that has migrated here from the shard of its team. */
+  /** 1 for a job that has migrated here from its team's shard, else 0. */
   migratedIn: number;
-  /** 1 for a job that is deferred because its team's quota cannot hold all in time. */
+  /** 1 for a job that is deferred because its team's quota is too small for all of its jobs to be in time, else 0. */
   deferred: number;
-  /** The latest start for its objectives, in time of day. */
+  /** The latest start that meets its objectives, in milliseconds of wall-clock time. */
   latestStartAt: number;
 }
 
-/** The waiting jobs that may start, in the order in which they are served. */
+/** The startable jobs that have waiting tasks, in scheduling order. */
 export function buildQueue(input: PlacementInput): QueueEntry[] {
   const waiting: Job[] = [];
   for (const job of input.jobs) if (job.waiting > 0 && isStartable(job, input)) waiting.push(job);
   return prioritize(waiting, input);
 }
 
-/** Jobs in the order in which they are served. */
+/** The given jobs in scheduling order. */
 export function orderByPriority(jobs: Job[], context: SchedulingContext): Job[] {
   return prioritize(jobs, context).map((entry) => entry.job);
 }
 
 /**
- * Starving jobs first, the oldest before the others; then urgent and critical work, then what can be in time, by how
- * long it can wait; deferred jobs last. Of one rank the shard's own jobs go before migrated ones, which have come for
- * capacity that nothing here uses: an array of hundreds of tasks would keep the shard's own jobs waiting for minutes.
+ * Sorts jobs by starvation (the oldest first), priority rank, migration, deferral and latest start. Within a rank the
+ * shard's own jobs go before migrated ones, which are to use only leftover capacity: otherwise a migrated array job of
+ * hundreds of tasks would keep the shard's own jobs waiting for minutes.
  */
 function prioritize(jobs: Job[], context: SchedulingContext): QueueEntry[] {
   const windows = new Map(jobs.map((job) => [job, sloWindowOf(job, context)]));
@@ -44,7 +45,6 @@
   const entries = jobs.map((job) => ({
     job,
     starvingAcceptedAt: isStarving(job, context) ? job.acceptedAt : Infinity,
-    // Normal and lower priorities share one rank.
     rank: Math.max(NORMAL_RANK, priorityRank(job)),
     migratedIn: job.migratedIn ? 1 : 0,
     deferred: deferred.has(job) ? 1 : 0,
@@ -55,7 +55,7 @@
 
 function compareEntries(left: QueueEntry, right: QueueEntry): number {
   return (
-    // The difference of two infinities is not a number.
+    // Infinity - Infinity is NaN.
     (left.starvingAcceptedAt === right.starvingAcceptedAt
       ? 0
       : left.starvingAcceptedAt - right.starvingAcceptedAt) ||
--- a/src/placement/machine-capacity.ts
+++ b/src/placement/machine-capacity.ts
@@ -1,4 +1,4 @@
-/** What is free on the machines of the shard. Pure. */
+/** Computes the free capacity of machines. Pure. */
 import type { MachineType } from "../wire/index.js";
 import type { Machine } from "../workers/machine.js";
 import { ROUNDING_TOLERANCE, fits } from "./capacity.js";
@@ -6,13 +6,13 @@
 import type { QueueEntry } from "./job-queue.js";
 import type { PlacementInput } from "./scheduling-context.js";
 
-/** A machine and what is free on it. */
+/** A machine, its type and its free resources. */
 export interface MachineCapacity extends Resources {
   machine: Machine;
   type: MachineType;
 }
 
-/** What is free on a machine beside all that is placed there. */
+/** The capacity of a machine less the resources of its placements. */
 export function freeCapacityOf(machine: Machine, type: MachineType): MachineCapacity {
   const used = machine.usedResources();
   return {
@@ -24,7 +24,7 @@
   };
 }
 
-/** The type of a machine on which tasks may start now; null if none may, or if the type is not known. */
+/** The type of a machine; null if no task may start on it now or its type is unknown. */
 export function usableTypeOf(
   machine: Machine,
   { types, now }: Pick<PlacementInput, "types" | "now">,
@@ -34,8 +34,8 @@
 }
 
 /**
- * The machines with enough free capacity for the smallest waiting task. Guards against a queue of large tasks, or of a
- * team at its limit, costing a look at every machine for every job.
+ * The machines whose free capacity holds the smallest need for each resource in the queue. Otherwise every job would be
+ * checked against every machine, even if only large tasks, or jobs of a team at its limit, are waiting.
  */
 export function capacityForQueue(
   queue: QueueEntry[],
@@ -57,7 +57,7 @@
     const type = usableTypeOf(machine, input);
     if (type === null) continue;
     const capacity = freeCapacityOf(machine, type);
-    // Every task needs processors or memory: a machine without either is full for all.
+    // Every task needs CPUs or memory: a machine with neither free is full.
     if (capacity.cpus > ROUNDING_TOLERANCE || capacity.memoryGb > ROUNDING_TOLERANCE)
       capacities.push(capacity);
   }
--- a/src/placement/machine-forecast.ts
+++ b/src/placement/machine-forecast.ts
@@ -1,4 +1,4 @@
-/** When how much capacity comes free on a machine, as its tasks end. Pure. */
+/** Forecasts when capacity becomes free on machines as their tasks end. Pure. */
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 import { ROUNDING_TOLERANCE, fits, slotsPerMachine } from "./capacity.js";
@@ -8,19 +8,19 @@
 
 const RESOURCE_KINDS = ["cpus", "gpus", "memoryGb"] as const;
 
-/** Capacity of a machine that comes free at a time. */
+/** Capacity of a machine that becomes free at one point in time. */
 export interface FutureCapacity extends Resources {
-  /** In how many milliseconds from now. */
+  /** When it becomes free, in milliseconds from now. */
   availableInMs: number;
 }
 
-/** A machine and what comes free on it, the earliest first. */
+/** A machine and the capacity that becomes free on it, earliest first. */
 export interface MachineForecast {
   machine: Machine;
   timeline: FutureCapacity[];
 }
 
-/** The forecasts of all machines on which tasks may start. */
+/** The forecasts of all schedulable machines of known type. */
 export function forecastMachines(
   input: Pick<PlacementInput, "machines" | "types" | "runtimeRatio" | "now">,
 ): MachineForecast[] {
@@ -29,7 +29,7 @@
     .flatMap((machine) => forecastMachine(machine, input));
 }
 
-/** Empty if the machine's type is not known. */
+/** A list of one forecast; empty if the machine's type is unknown. */
 function forecastMachine(
   machine: Machine,
   input: Pick<PlacementInput, "types" | "runtimeRatio" | "now">,
@@ -53,7 +53,7 @@
   return [{ machine, timeline: timeline.sort((a, b) => a.availableInMs - b.availableInMs) }];
 }
 
-/** In how many milliseconds, if not after the longest wait, what is free by then holds one task of the job. */
+/** The time in milliseconds until one task of the job fits; null if that is longer than `longestWaitMs`. */
 export function earliestFitMs(timeline: FutureCapacity[], job: Job, longestWaitMs: number): number | null {
   const free = { cpus: 0, gpus: 0, memoryGb: 0 };
   for (const part of timeline) {
@@ -64,7 +64,7 @@
   return null;
 }
 
-/** How many tasks of the job what is free at a time holds; at least one, as one did fit. */
+/** How many tasks of the job fit at `startsInMs`; at least 1, as the caller has found that one fits. */
 export function slotsAvailableAt(timeline: FutureCapacity[], job: Job, startsInMs: number): number {
   const free = { cpus: 0, gpus: 0, memoryGb: 0 };
   for (const part of timeline) {
@@ -74,16 +74,19 @@
   return Math.max(1, slotsPerMachine(job.spec, free));
 }
 
-/** Tasks that are to run on a machine from one time to another. */
+/** A run of equal tasks on a machine, with its start and end in milliseconds from now. */
 export interface FutureRun {
-  /** What one task needs. */
+  /** The resources that one task needs. */
   need: Resources;
   tasks: number;
   startsInMs: number;
   endsInMs: number;
 }
 
-/** What comes free beside the tasks of a run, and again after it. Changes the parts of the given timeline. */
+/**
+ * The timeline of a machine with the resources of a run taken until its end, when they become free again. Changes the
+ * entries of the given timeline.
+ */
 export function reserveCapacity(timeline: FutureCapacity[], run: FutureRun): FutureCapacity[] {
   const { need, tasks, startsInMs, endsInMs } = run;
   const outstanding = { cpus: need.cpus * tasks, gpus: need.gpus * tasks, memoryGb: need.memoryGb * tasks };
--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -1,4 +1,4 @@
-/** Which jobs may migrate to another shard, and what capacity a shard has for jobs of others. Pure. */
+/** Chooses jobs that may migrate to another shard, and reports the free capacity for jobs of other shards. Pure. */
 import type { Team } from "../config/settings.js";
 import type { FreeCapacity, MigrationCandidate } from "../peers/peer-messages.js";
 import type { QuotaReservation } from "../jobs/job-records.js";
@@ -10,23 +10,23 @@
 import { quotaSnapshot, teamOf, type QuotaUsage } from "./quota.js";
 import type { PlacementInput } from "./scheduling-context.js";
 
-/** A job may migrate once it has waited for this fraction of the time in which nobody waits with free capacity. */
+/** A job may migrate once it has waited for this fraction of `MAX_WAIT_WITH_FREE_CAPACITY_S`. */
 const MIGRATE_AFTER_FRACTION = 1 / 2;
 const NO_USAGE: QuotaUsage = { cpus: 0, gpus: 0 };
-/** How many candidates a summary names: they differ in what their tasks need. */
+/** The maximum number of candidates in a shard summary; each has different task requirements. */
 const MAX_CANDIDATES = 4;
 
-/** On what terms a job migrates: how many of its tasks may run at a time, and what is reserved for them. */
+/** The conditions of a migration: how many tasks of the job may run at once, and the quota reserved for them. */
 export interface MigrationTerms {
-  /** Infinity where the job's team has no limit. */
+  /** Infinity if the job's team has no limit. */
   maxParallelTasks: number;
-  /** Null where the job's team has no limit. */
+  /** Null if the job's team has no limit. */
   reservation: QuotaReservation | null;
-  /** Whether the job goes to a shard of other teams, whose own jobs come first there. */
+  /** Whether the job moves to a shard of other teams, whose own jobs are placed first. */
   migratedIn: boolean;
 }
 
-/** The jobs that have not begun and have waited for long, the oldest first, one of each kind of task. */
+/** The jobs that may migrate and have waited long enough, oldest first, one for each distinct task requirement. */
 export function migrationCandidates(input: PlacementInput): MigrationCandidate[] {
   const migrateAfterMs = MIGRATE_AFTER_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
   const oldestFirst = [...input.jobs]
@@ -47,7 +47,7 @@
   return [...candidates.values()];
 }
 
-/** Whether it is known for sure that no task of a job has ever been placed, and it has not migrated here itself. */
+/** Whether a startable job has certainly never had a task placed, has not migrated here and is not suspected faulty. */
 export function canMigrate(job: Job, input: PlacementInput): boolean {
   return (
     !job.hasStarted &&
@@ -59,8 +59,8 @@
 }
 
 /**
- * On what terms a job may migrate now; null if its team's limit does not leave enough for all of its tasks that could
- * ever run at once.
+ * The terms on which a job may migrate now. Null if its team is not configured, or if the team's unused quota holds
+ * fewer tasks of the job than its whole quota would.
  */
 export function migrationTermsFor(
   job: Job,
@@ -70,21 +70,21 @@
   const { spec } = job;
   const team = teamOf(job, input.teams);
   if (team === undefined) return null;
-  // A single team's shards are alike; several teams are spread over the shards.
+  // With a single team all shards serve it alike; several teams are distributed over the shards.
   const migratedIn = input.teams.length > 1;
   if (team.cpusMax <= 0 && team.gpusMax <= 0)
     return { maxParallelTasks: Infinity, reservation: null, migratedIn };
   const usage = quota.byTeam.get(spec.team)!;
   const maxParallelTasks = Math.min(spec.tasks, tasksWithinLimit(team, usage, quota.unreconciled, spec));
   const maxWithUnusedQuota = Math.min(spec.tasks, tasksWithinLimit(team, NO_USAGE, NO_USAGE, spec));
-  // Guards against a job that goes on with a task or two at a time where its own shard would soon let all of it run.
+  // Otherwise a migrated job might run one or two tasks at a time where its own shard could soon run all of them.
   if (maxParallelTasks < maxWithUnusedQuota) return null;
   const cpus = maxParallelTasks * spec.cpus;
   const gpus = maxParallelTasks * spec.gpus;
   return { maxParallelTasks, reservation: { team: spec.team, cpus, gpus }, migratedIn };
 }
 
-/** How many more tasks that need `need` stay within the team's limit. */
+/** How many more tasks that need `need` fit within the team's limits; Infinity without a limit. */
 function tasksWithinLimit(team: Team, usage: QuotaUsage, unreconciled: QuotaUsage, need: QuotaUsage): number {
   return Math.min(
     tasksWithin(team.cpusMax, usage.cpus + unreconciled.cpus, need.cpus),
@@ -92,7 +92,7 @@
   );
 }
 
-/** A limit of zero is none. */
+/** A limit of 0 means no limit. */
 function tasksWithin(limit: number, usage: number, needPerTask: number): number {
   return limit > 0 && needPerTask > 0
     ? Math.floor((limit - usage) / needPerTask + ROUNDING_TOLERANCE)
@@ -100,8 +100,8 @@
 }
 
 /**
- * The largest free capacity on one machine of each instance pool, reserved machines left out: right after a round no
- * job of this shard uses it.
+ * For each instance pool (type, zone, spot), the free capacity of the machine with the most free CPUs, except for
+ * reserved machines. To be called right after a round, when no job of this shard can use the capacity.
  */
 export function largestFreeCapacity(input: PlacementInput): FreeCapacity[] {
   const largestByPool = new Map<string, FreeCapacity>();
@@ -109,7 +109,7 @@
     const type = usableTypeOf(machine, input);
     if (type === null) continue;
     if (input.starvationReservations.has(machine) || input.preemptionReservations.has(machine)) continue;
-    // Most machines are full: the other resources are computed only for those that are not.
+    // Most machines are full: compute the other resources only for those that are not.
     const freeCpus = type.cpus - machine.usedResources().cpus;
     const { zone, spot } = machine.record;
     const pool = `${type.name}/${zone}/${spot}`;
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -1,4 +1,7 @@
-/** Which waiting tasks start where: one round of decisions, within a budget of time. Pure but for the clock it is given. */
+/**
+ * Placement rounds: decide which waiting tasks start on which machines. A round over all machines stops at a deadline.
+ * Without side effects, except that the clock passed in is read.
+ */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
@@ -11,21 +14,22 @@
 import { reserveMachineFor } from "./starvation-reservation.js";
 import { needsReservation } from "./starvation.js";
 
-/** What a round of placement decided. */
+/** The decisions of a placement round. */
 export interface PlacementRound {
   starts: TaskStart[];
-  /** The id of the job at which the next round goes on; null when the whole queue was considered. */
+  /** The id of the job with which the next round starts; null if this round considered the whole queue. */
   resumeAtJobId: string | null;
+  /** Machines on which only tasks of the given job may start. */
   reservations: Map<Machine, Job>;
-  /** How many machines were considered for how many jobs: what the round cost, whatever the processor. */
+  /** The number of (job, machine) pairs considered: the cost of the round, independent of processor speed. */
   pairsConsidered: number;
 }
 
 /**
- * A whole round: all waiting jobs, offered the free capacity of all machines.
+ * Runs a full round: places the jobs of the queue on the free capacity of all machines.
  *
- * @param queue the waiting jobs in the order in which they are served
- * @param deadlineAt the time of the clock after which no further job is considered; at least one is
+ * @param queue the waiting jobs in scheduling order
+ * @param deadlineAt the reading of `clock` after which no further job is considered; at least one job always is
  */
 export function placeRound(
   input: PlacementInput,
@@ -36,7 +40,7 @@
   const capacities = capacityForQueue(queue, input, input.machines);
   const state = beginRound(input, capacities, new Map(input.preemptionReservations));
   const first = startPosition(queue, input);
-  // Machines stay reserved for the jobs before the resumed one.
+  // A resumed round skips the jobs at the head of the queue: their reservations are carried over.
   if (first > 0)
     for (const [machine, job] of input.starvationReservations) state.reservations.set(machine, job);
   for (let i = first; i < queue.length; i++) {
@@ -48,7 +52,7 @@
   return resultOf(state, null);
 }
 
-/** The position in the queue at which the round begins. */
+/** The queue position at which the round starts: that of the job to resume at, or 0 if it is no longer queued. */
 function startPosition(queue: QueueEntry[], { resumeAtJobId }: PlacementInput): number {
   if (resumeAtJobId === null) return 0;
   const position = queue.findIndex(({ job }) => job.spec.id === resumeAtJobId);
@@ -63,10 +67,10 @@
 }
 
 /**
- * The free capacity of one machine whose heartbeat has just come in, offered to the queue as it was last ordered: a
- * heartbeat costs what it changes, and not a look at the whole shard.
+ * Places tasks on the free capacity of one machine whose heartbeat has just arrived. The queue keeps the order of the
+ * last full round, so that the cost of a heartbeat does not grow with the number of machines in the shard.
  *
- * @param hasEnoughImageHolders whether so many machines have the job's image that its tasks need no others
+ * @param hasEnoughImageHolders whether the machines that have the job's image can hold all of its waiting tasks
  */
 export function placeOnMachine(
   machine: Machine,
@@ -76,7 +80,7 @@
 ): PlacementRound {
   const reservations = new Map([...input.starvationReservations, ...input.preemptionReservations]);
   const capacities = capacityForQueue(queue, input, [machine]);
-  // Most machines that send heartbeats are full: quota usage is not added up for them.
+  // Most machines that send heartbeats are full: skip computing quota usage for them.
   if (capacities.length === 0) return { starts: [], resumeAtJobId: null, reservations, pairsConsidered: 0 };
   const state = beginRound(input, capacities, reservations);
   for (const job of orderByImageLocality(machine, queue, input, hasEnoughImageHolders))
--- a/src/placement/placement-score.ts
+++ b/src/placement/placement-score.ts
@@ -1,20 +1,20 @@
-/** Which machine is the best one for a job's tasks. Pure. */
+/** Scores machines for the placement of a job's tasks. Pure. */
 import type { Job } from "../workers/job.js";
 import type { MachineCapacity } from "./machine-capacity.js";
 import { priorityRank, URGENT_RANK } from "./priority-rank.js";
 
-/** More than all other scores together: a slow machine is filled last. */
+/** Exceeds the sum of all other scores, so that slow machines are filled last. */
 const SLOW_PENALTY = 10;
-/** Spot machines are filled before others, whatever is free on them. */
+/** Exceeds the scores for free capacity and, for non-urgent jobs, a local image: spot machines are filled first. */
 const SPOT_SCORE = 2;
-/** What a local image is worth beside how full a machine is: fetching one costs less than keeping a machine up. */
+/** Less than the score range of free capacity, as pulling an image costs less than keeping another machine running. */
 const LOCAL_IMAGE_SCORE = 0.4;
-/** Urgent work cannot wait for an image: for it a local one is worth more than a spot machine. */
+/** For urgent jobs a local image outweighs the spot score, because they cannot wait for an image pull. */
 const LOCAL_IMAGE_SCORE_URGENT = 4;
 
 /**
- * How well a machine suits a job; the highest is the best. The cheapest kind first, then the fuller machine, or one
- * that has the image: expensive and empty machines are left to run empty and be returned.
+ * The score of a machine for a job; the highest is the best. Spot machines are preferred to on-demand ones, then fuller
+ * machines and those that have the image: expensive and nearly empty machines run empty and can be returned.
  */
 export function scoreMachine(job: Job, { machine, type, cpus }: MachineCapacity): number {
   const isUrgent = priorityRank(job) >= URGENT_RANK;
--- a/src/placement/preemptable-capacity.ts
+++ b/src/placement/preemptable-capacity.ts
@@ -1,4 +1,4 @@
-/** What will soon be free on machines, and which of their tasks may be preempted. Pure. */
+/** Computes the capacity that machines will have soon, and the tasks that may be preempted on them. Pure. */
 import type { MachineType } from "../wire/index.js";
 import type { Machine } from "../workers/machine.js";
 import type { Placement } from "../workers/placement.js";
@@ -8,23 +8,23 @@
 import { expectedRemainingMs, expectedRuntimeMs } from "./runtime-estimates.js";
 import type { PlacementInput } from "./scheduling-context.js";
 
-/** Work that cannot be saved may be discarded while it is less than this fraction of the whole. */
+/** A running task without checkpoints may be preempted until it has run for this fraction of its expected run time. */
 const MAX_DISCARDED_FRACTION = 0.1;
 
-/** What preemption is decided on. */
+/** The input of preemption decisions. */
 export interface PreemptionInput extends PlacementInput {
   /** The interval of workers' heartbeats, in milliseconds. */
   heartbeatIntervalMs: number;
 }
 
-/** A machine, and what will be free on it about as soon as a task stopped now would release its capacity. */
+/** A machine and its capacity by the time at which a task preempted now would have released its resources. */
 export interface PreemptableCapacity extends Resources {
   machine: Machine;
-  /** What may be preempted here: the lowest priority first, and of that what has started last. */
+  /** The tasks that may be preempted, lowest priority first; within a priority the most recent state change first. */
   candidateVictims: Placement[];
 }
 
-/** What will soon be free on all machines on which tasks may start. Subtracts the tasks that end from the usage. */
+/** The capacity soon free on each schedulable machine. Subtracts tasks that are about to end from `usageByTeam`. */
 export function preemptableCapacities(
   input: PreemptionInput,
   usageByTeam: Map<string, QuotaUsage>,
@@ -62,8 +62,9 @@
 }
 
 /**
- * Whether a task ends about as soon as a stopped one would. Guards against counting on the end of a task that has
- * outrun its estimate: others would be stopped beside it, again and again, for capacity that is not released.
+ * Whether a task will end about as soon as it would if preempted: within its save time and two heartbeats. False for a
+ * running task that has exceeded its expected run time: its end cannot be relied on, and other tasks would be preempted
+ * repeatedly for capacity that it does not release.
  */
 function endsSoon(placement: Placement, type: MachineType, input: PreemptionInput): boolean {
   const { state, stateSince, job } = placement;
@@ -71,7 +72,7 @@
   return expectedRemainingMs(placement, type, input) <= job.spec.saveS * 1000 + 2 * input.heartbeatIntervalMs;
 }
 
-/** Whether little work is lost: it is saved, or has hardly begun. */
+/** Whether preempting a task loses little work: it has checkpoints or has just started. A saving task is left alone. */
 function isCheapToStop(placement: Placement, input: PreemptionInput): boolean {
   const { job, state, stateSince } = placement;
   if (state === "saving") return false;
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,6 +1,7 @@
 /**
- * Which running tasks to stop so that more urgent ones can start: only those of lower priority, only where little work
- * is lost (it is saved, or has hardly begun), and only where nothing ends soon anyway. Pure but for the clock.
+ * Chooses running tasks to preempt so that more urgent ones can start. A task is preempted only if it has a lower
+ * priority and little work is lost (it has checkpoints, or has just started); capacity that tasks are about to release
+ * is used first. Without side effects, except that the clock passed in is read.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Job } from "../workers/job.js";
@@ -21,14 +22,14 @@
 import { latestStartTime, runningTaskSlackMs } from "./slo-window.js";
 import { findVictims, type PreemptionChoice, type VictimSearch } from "./victim-search.js";
 
-/** Which tasks to stop, and for which jobs. */
+/** The tasks to preempt, and the jobs they make room for. */
 export interface Preemption {
   victims: Placement[];
-  /** The machines on which tasks are stopped, and the job for which. */
+  /** The machines on which tasks are preempted, each reserved for the job that they are preempted for. */
   reservations: Map<Machine, Job>;
 }
 
-/** What the preemptions chosen so far leave. */
+/** The capacity and quota usage left after the preemptions chosen so far. */
 interface PreemptionState {
   capacities: PreemptableCapacity[];
   quota: QuotaSnapshot;
@@ -36,10 +37,10 @@
 }
 
 /**
- * Chooses tasks to stop for waiting jobs that cannot wait for a new machine. What is not decided by the deadline is
- * left to the next round, which finds it again.
+ * Chooses tasks to preempt for waiting jobs that cannot wait for a machine to be provisioned. Jobs that are not reached
+ * by the deadline are considered again in the next round.
  *
- * @param deadlineAt the time of the clock after which no further task is considered
+ * @param deadlineAt the reading of `clock` after which no further task is considered
  */
 export function choosePreemptions(
   input: PreemptionInput,
@@ -78,7 +79,7 @@
   return chosen;
 }
 
-/** Whether a rented machine would come too late for the job. */
+/** Whether the job is urgent, or a newly rented machine would be ready only after the job's latest start. */
 function isTooUrgentToProvision(job: Job, input: PreemptionInput): boolean {
   return (
     priorityRank(job) >= URGENT_RANK ||
@@ -86,13 +87,13 @@
   );
 }
 
-/** The positions of all jobs that wait or run in the order in which placement serves them. */
+/** The queue position of every job that has waiting or active tasks, in scheduling order. */
 function queuePositionsOf(jobs: Job[], input: PreemptionInput): Map<Job, number> {
   const activeJobs = jobs.filter((job) => job.waiting > 0 || job.active.size > 0);
   return new Map(orderByPriority(activeJobs, input).map((job, position) => [job, position]));
 }
 
-/** The machines on which the job may run, those left out that are reserved for other jobs. */
+/** The machines that the job is eligible for and that are not reserved for another job. */
 function candidatesFor(
   job: Job,
   capacities: PreemptableCapacity[],
@@ -103,7 +104,7 @@
   );
 }
 
-/** Takes the victims off their machine and one more task of the job on it. */
+/** Updates capacity and quota usage: removes the victims from the machine and adds one task of the job. */
 function applyChoice(
   { capacity, victims }: PreemptionChoice,
   { job, usage, tasksByZone }: VictimSearch,
@@ -121,7 +122,7 @@
   countZone(tasksByZone, capacity.machine);
 }
 
-/** The answer for a victim is the same for every waiting task: it is computed once a round. */
+/** Caches the decision per victim: it does not depend on the waiting task, so one computation a round is enough. */
 function memoizePerVictim(decide: (victim: Placement) => boolean): (victim: Placement) => boolean {
   const answers = new Map<Placement, boolean>();
   return (victim) => {
@@ -135,8 +136,9 @@
 }
 
 /**
- * Whether a task may be stopped for work that is not urgent (urgent work may stop anything lower): only what has time
- * to go on later, and nothing twice. Guards against two jobs that stop each other's tasks in turn.
+ * Whether a task may be preempted for a job below urgent priority (an urgent job may preempt any task of lower
+ * priority): only if its job can still meet its objective after the delay, and if it was not stopped before. Otherwise
+ * two jobs could preempt each other's tasks in turn.
  */
 function isPreemptable(victim: Placement, input: PlacementInput): boolean {
   if (victim.resumed) return false;
--- a/src/placement/priority-rank.ts
+++ b/src/placement/priority-rank.ts
@@ -1,14 +1,14 @@
-/** Priorities of jobs as numbers that can be compared. Pure. */
+/** Maps job priorities to comparable numbers. Pure. */
 import { PRIORITIES } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 
-/** The rank of jobs that users have not given another priority. */
+/** The rank of `normal` priority; jobs of lower priority are queued with it. */
 export const NORMAL_RANK = PRIORITIES.indexOf("normal");
 
-/** From this rank on a job may preempt anything lower, and does not wait for a machine that is cheap. */
+/** Jobs of this rank and above may preempt any task of lower priority, and prefer a local image to a spot machine. */
 export const URGENT_RANK = PRIORITIES.indexOf("urgent");
 
-/** The rank of a job's priority; the highest is the most urgent. */
+/** The rank of a job's priority; a higher rank is more urgent. */
 export function priorityRank(job: Job): number {
   return PRIORITIES.indexOf(job.spec.priority);
 }
--- a/src/placement/quota.ts
+++ b/src/placement/quota.ts
@@ -1,30 +1,30 @@
-/** What teams use of their quota, and whether one more task stays within a team's limit. Pure. */
+/** Computes the quota usage of teams and checks it against their limits. Pure. */
 import type { Team } from "../config/settings.js";
 import type { MachineType } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 import { ROUNDING_TOLERANCE } from "./capacity.js";
 
-/** The resources that quotas limit, as used by a team or needed by a task. */
+/** Amounts of the resources that quotas limit: a team's usage, or the needs of one task. */
 export interface QuotaUsage {
   cpus: number;
   gpus: number;
 }
 
-/** What quota usage is computed from. */
+/** The input for computing quota usage. */
 export interface QuotaInput {
   jobs: Iterable<Job>;
   machines: Iterable<Machine>;
   types: Map<string, MachineType>;
-  /** What is reserved of teams' limits for jobs that have migrated to other shards. */
+  /** The quota reserved, by team, for jobs that have migrated to other shards. */
   reservedQuota: ReadonlyMap<string, QuotaUsage>;
 }
 
-/** Quota usage of a moment: computed once for all jobs that are decided on together. */
+/** Quota usage at one point in time, computed once for all jobs that are scheduled together. */
 export interface QuotaSnapshot {
-  /** The usage of each team that has jobs here or reservations for migrated ones. */
+  /** The usage of each team that has jobs in this shard or reservations for migrated jobs. */
   byTeam: Map<string, QuotaUsage>;
-  /** What tasks that this owner does not know of may use; it counts for every team. */
+  /** The resources that tasks unknown to this owner may use; any team may own them, so they count for every team. */
   unreconciled: QuotaUsage;
 }
 
@@ -36,7 +36,7 @@
   };
 }
 
-/** What each team uses, every placement counted that is not proven gone, and what is reserved in other shards. */
+/** The usage per team: every placement that is not proven gone, plus the reservations for migrated jobs. */
 function teamUsage(
   jobs: Iterable<Job>,
   reservedQuota: ReadonlyMap<string, QuotaUsage>,
@@ -53,8 +53,8 @@
 }
 
 /**
- * What tasks that this owner does not know of may use: all of a machine on which an earlier owner may have started
- * tasks, or that runs tasks of unknown jobs.
+ * The resources that tasks unknown to this owner may use: the full capacity of every machine on which an earlier owner
+ * may have started tasks, or that reports tasks without a known attempt. Infinite for a machine of unknown type.
  */
 function unreconciledUsage(machines: Iterable<Machine>, types: Map<string, MachineType>): QuotaUsage {
   const usage = { cpus: 0, gpus: 0 };
@@ -66,12 +66,12 @@
   return usage;
 }
 
-/** The settings of a job's team; undefined if there is no such team. */
+/** The settings of a job's team; undefined if the team is not configured. */
 export function teamOf(job: Job, teams: readonly Team[]): Team | undefined {
   return teams.find((team) => team.name === job.spec.team);
 }
 
-/** Whether one more task that needs `need` stays within its team's limit. */
+/** Whether a team's usage stays within its limits with one more task that needs `need`; false for an unknown team. */
 export function isWithinQuota(
   team: Team | undefined,
   usage: QuotaUsage,
@@ -85,18 +85,18 @@
   );
 }
 
-/** A limit of zero is none. */
+/** A limit of 0 means no limit. */
 function exceedsLimit(limit: number, usage: number): boolean {
   return limit > 0 && usage > limit + ROUNDING_TOLERANCE;
 }
 
-/** Adds what a task uses to a usage in place. */
+/** Adds the resources of a task to `usage` in place. */
 export function addUsage(usage: QuotaUsage, { cpus, gpus }: Readonly<QuotaUsage>): void {
   usage.cpus += cpus;
   usage.gpus += gpus;
 }
 
-/** Subtracts what a task uses from a usage in place. */
+/** Subtracts the resources of a task from `usage` in place. */
 export function subtractUsage(usage: QuotaUsage, { cpus, gpus }: Readonly<QuotaUsage>): void {
   usage.cpus -= cpus;
   usage.gpus -= gpus;
--- a/src/placement/round-state.ts
+++ b/src/placement/round-state.ts
@@ -1,35 +1,35 @@
-/** What a round of placement has decided so far. */
+/** The state of a placement round: decisions so far and remaining capacity. */
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 import type { MachineCapacity } from "./machine-capacity.js";
 import { quotaSnapshot, type QuotaSnapshot } from "./quota.js";
 import type { PlacementInput } from "./scheduling-context.js";
 
-/** A decision to start a task on a machine. */
+/** The decision to start a task on a machine. */
 export interface TaskStart {
   job: Job;
-  /** The number of the task in its job. */
+  /** The index of the task in its job. */
   index: number;
   machine: Machine;
 }
 
-/** The state of a round; used by rounds over all machines and by those for one machine alike. */
+/** The state shared by rounds over all machines and rounds for a single machine. */
 export interface RoundState {
   readonly input: PlacementInput;
-  /** Includes the usage of the tasks that this round starts. */
+  /** The quota usage, including the tasks that this round starts. */
   readonly quota: QuotaSnapshot;
-  /** What is free beside the tasks that this round starts. */
+  /** The capacity that is still free after the tasks that this round starts. */
   readonly capacities: MachineCapacity[];
   readonly starts: TaskStart[];
-  /** Machines on which only tasks of one job may start. */
+  /** Machines on which only tasks of the given job may start. */
   readonly reservations: Map<Machine, Job>;
-  /** Teams of which nothing more starts in this round, by name. */
+  /** The names of teams whose jobs start no more tasks in this round. */
   readonly blockedTeams: Set<string>;
-  /** How many machines were considered for how many jobs. */
+  /** The number of (job, machine) pairs considered. */
   pairsConsidered: number;
 }
 
-/** The state of a round that has decided nothing yet. */
+/** Creates the state of a round before its first decision. */
 export function beginRound(
   input: PlacementInput,
   capacities: MachineCapacity[],
--- a/src/placement/runtime-estimates.ts
+++ b/src/placement/runtime-estimates.ts
@@ -1,23 +1,26 @@
-/** How long tasks are expected to run, and how long it takes until they can start on a new machine. Pure. */
+/** Estimates task run times, and the time until a task can start on a newly rented machine. Pure. */
 import type { MachineType } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 import type { Placement } from "../workers/placement.js";
 import type { SchedulingContext } from "./scheduling-context.js";
 
-/** A task that outruns its estimate is expected to run for this fraction of it once more. */
+/** The minimum expected remaining time of a running task, as a fraction of its expected run time. */
 const OVERRUN_FRACTION = 0.2;
 
-/** How long a task of the job is expected to run, in milliseconds: its estimate, corrected by its class's past runs. */
+/** The expected run time of a task of the job in milliseconds: its estimate, corrected by past runs of its class. */
 export function expectedRuntimeMs(job: Job, context: Pick<SchedulingContext, "runtimeRatio">): number {
   return job.spec.estimateS * context.runtimeRatio(job.spec.className) * 1000;
 }
 
-/** How long a machine of a type takes to fetch the job's image, in milliseconds. */
+/** How long a machine of the given type takes to pull the job's image, in milliseconds; 0 if its rate is not set. */
 export function imagePullMs(job: Job, type: MachineType): number {
   return type.fetchGbPerS > 0 ? (job.spec.imageGb / type.fetchGbPerS) * 1000 : 0;
 }
 
-/** The shortest time from renting a machine until a task of the job runs there, in milliseconds. */
+/**
+ * The shortest time from renting a machine of any type until a task of the job can run there, in milliseconds: boot and
+ * image pull. 0 if no type is known.
+ */
 export function provisioningMs(job: Job, context: Pick<SchedulingContext, "types">): number {
   let shortestMs = Infinity;
   for (const type of context.types.values())
@@ -25,7 +28,7 @@
   return Number.isFinite(shortestMs) ? shortestMs : 0;
 }
 
-/** In how many milliseconds a placed task is expected to end. */
+/** The expected time until a placed task ends, in milliseconds. */
 export function expectedRemainingMs(
   placement: Placement,
   type: MachineType,
--- a/src/placement/scheduling-context.ts
+++ b/src/placement/scheduling-context.ts
@@ -1,4 +1,4 @@
-/** What scheduling decisions are made on. */
+/** The inputs of scheduling decisions. */
 import type { Objective, Team } from "../config/settings.js";
 import type { MachineType } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
@@ -6,28 +6,28 @@
 import type { OwnershipTerm } from "./eligibility.js";
 import type { QuotaUsage } from "./quota.js";
 
-/** What the order of jobs is decided on. */
+/** The inputs for ordering jobs. */
 export interface SchedulingContext {
   teams: Team[];
   types: Map<string, MachineType>;
   objectives: Objective[];
-  /** Time of day in milliseconds, the clock by which jobs are dated. */
+  /** Wall-clock time in milliseconds; jobs' `acceptedAt` is on the same clock. */
   wallNow: number;
-  /** How long a task really runs for each second of its estimate, by class. */
+  /** The ratio of actual to estimated run time of a class's tasks. */
   runtimeRatio(className: string): number;
 }
 
-/** What placements, preemptions, migrations and the shard's demand are decided on. */
+/** The inputs for placement, preemption, migration and the shard's demand. */
 export interface PlacementInput extends SchedulingContext, OwnershipTerm {
-  /** Iterated several times. */
+  /** Must allow repeated iteration. */
   jobs: Iterable<Job>;
   machines: Machine[];
-  /** What is reserved of teams' limits for jobs that have migrated to other shards. */
+  /** The quota reserved, by team, for jobs that have migrated to other shards. */
   reservedQuota: ReadonlyMap<string, QuotaUsage>;
-  /** The id of the job at which the last round ran out of time. */
+  /** The id of the job at which the last full round stopped at its deadline; null if it considered the whole queue. */
   resumeAtJobId: string | null;
-  /** Machines reserved for a starving job, and the job that each is reserved for. */
+  /** The machines reserved for starving jobs, each with its job. */
   starvationReservations: ReadonlyMap<Machine, Job>;
-  /** Machines on which tasks were preempted for a job, until the job has had the time to start there. */
+  /** The machines on which tasks were preempted, each with the job that has some time to start there first. */
   preemptionReservations: ReadonlyMap<Machine, Job>;
 }
--- a/src/placement/shard-summary.ts
+++ b/src/placement/shard-summary.ts
@@ -1,4 +1,4 @@
-/** What an owner reports to the leader about its shard: load, demand, and the condition of its machines. Pure. */
+/** Computes the shard summary that an owner reports to the leader: load, demand and machine states. Pure. */
 import type { Demand, MachineSummary, ShardLoad, ShardSummary } from "../peers/peer-messages.js";
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
@@ -10,7 +10,7 @@
 import { addUsage, isWithinQuota, quotaSnapshot, teamOf, type QuotaSnapshot } from "./quota.js";
 import type { PlacementInput } from "./scheduling-context.js";
 
-/** How full the shard is and how much work waits, in processors. */
+/** The load of the shard: machines up and empty, and the CPUs present, used and waited for. */
 export function measureLoad({
   jobs,
   machines,
@@ -28,7 +28,7 @@
   return load;
 }
 
-/** How many processors are used by tasks of each state, for operators who ask what they pay for. */
+/** The CPUs used by tasks in each state, which show operators what they pay for. */
 export function cpusByTaskState(machines: Iterable<Machine>): Record<Placement["state"], number> {
   const cpus = { assigned: 0, fetching: 0, running: 0, saving: 0 };
   for (const machine of machines)
@@ -36,7 +36,7 @@
   return cpus;
 }
 
-/** The tasks that need machines yet to be rented, alike ones together, within the quotas of their teams. */
+/** The tasks that need machines to be rented, within their teams' quotas, grouped by requirements and priority. */
 export function computeDemand(input: PlacementInput): Demand[] {
   const quota = quotaSnapshot(input);
   const startable = [...input.jobs].filter((job) => job.waiting > 0 && isStartable(job, input));
@@ -48,7 +48,7 @@
   return groupDemand(forecastUnmetDemand({ ...input, waiting }));
 }
 
-/** How many more tasks of a job may run within its team's quota; adds them to the team's usage. */
+/** How many more tasks of a job may run within its team's quota. Adds them to the team's usage. */
 function claimQuota(job: Job, quota: QuotaSnapshot, input: PlacementInput): number {
   const team = teamOf(job, input.teams);
   const usage = quota.byTeam.get(job.spec.team)!;
@@ -59,7 +59,10 @@
   return count;
 }
 
-/** A job that may be faulty is tried with one task, for which nothing is rented while a machine could hold it. */
+/**
+ * How many tasks of a suspected faulty job count as demand. It runs one task at a time, so this is 1 if none is active
+ * and no schedulable machine could hold one, else 0.
+ */
 function trialTasks(job: Job, input: PlacementInput): number {
   if (job.active.size > 0) return 0;
   for (const machine of input.machines) {
@@ -89,8 +92,9 @@
 }
 
 /**
- * The summary of an owner that cannot start anything: no machines are rented for it, no jobs migrate to it, and no
- * machines are returned because it has not received their heartbeats.
+ * The summary reported by an owner that cannot start tasks. It has no demand and no free capacity, so that no machines
+ * are rented for it and no jobs migrate to it. Machines with expired leases are reported as busy, so that none is
+ * returned only because this owner did not receive its heartbeats.
  */
 export function withoutDemand(summary: ShardSummary): ShardSummary {
   const machines = summary.machines.map((machine): MachineSummary =>
@@ -100,7 +104,7 @@
 }
 
 /**
- * The condition of one machine, as it is reported to the leader.
+ * The state of one machine as reported to the leader.
  *
  * @param now steady time in milliseconds
  */
@@ -116,7 +120,7 @@
       stateForMs: elapsedSince(machine.leaseExpiredAt),
       emptyHeartbeats,
     };
-  // Its heartbeats arrive and responses do not reach it: it can be used no more than one without heartbeats.
+  // Responses do not reach the machine, although its heartbeats arrive: it is as unusable as one without heartbeats.
   if (machine.responsesLost)
     return {
       host,
--- a/src/placement/slo-window.ts
+++ b/src/placement/slo-window.ts
@@ -1,36 +1,36 @@
-/** When the tasks of a job should start for its service-level objectives to be met, and how much slack is left. Pure. */
+/** Computes by when a job must start to meet its service-level objectives, and the slack of its running tasks. Pure. */
 import type { Objective } from "../config/settings.js";
 import type { Job } from "../workers/job.js";
 import { expectedRuntimeMs, imagePullMs, provisioningMs } from "./runtime-estimates.js";
 import type { SchedulingContext } from "./scheduling-context.js";
 
-/** The tasks of one job differ, and the last one to end counts: windows allow for it. */
+/** Factor on the expected run time: run times vary between tasks, and the job ends with its slowest task. */
 const RUNTIME_MARGIN = 1.3;
-/** A job without objectives should start within so many provisioning times, by priority. */
+/** The start delay allowed to a job without objectives, by priority, as a multiple of the provisioning time. */
 const START_DELAY_IN_PROVISIONING_TIMES = { critical: 0, urgent: 1, normal: 2, best_effort: 8 };
-/** A job that has missed all its objectives waits behind those that have not, until so many times its last one. */
+/** The start delay of a job that missed all objectives, in multiples of its longest one; jobs in time go before it. */
 const MISSED_SLO_FACTOR = 2;
 
-/** When a job should start and end for one objective, in milliseconds of the time of day. */
+/** The start and end times that meet one objective, in milliseconds of wall-clock time. */
 export interface SloWindow {
   latestStartAt: number;
-  /** When the job is due if it starts at the latest. */
+  /** The expected end of a job that starts at `latestStartAt`. */
   dueAt: number;
 }
 
-/** The window of one objective. */
+/** The window of one objective of a job. */
 interface ObjectiveWindow extends SloWindow {
-  /** How long after the job was accepted the objective is due. */
+  /** The time limit of the objective, in milliseconds from when the job was accepted. */
   withinMs: number;
 }
 
-/** What is expected of a job's tasks, in milliseconds. */
+/** The expected times of a job's tasks, in milliseconds. */
 interface TaskTimes {
   runtimeMs: number;
   imagePullMs: number;
 }
 
-/** The window of the nearest objective that can still be met, or a later one where there is none. */
+/** The window of the earliest objective that can still be met, or a fallback window if there is none. */
 export function sloWindowOf(job: Job, context: SchedulingContext): SloWindow {
   const times: TaskTimes = {
     runtimeMs: expectedRuntimeMs(job, context) * RUNTIME_MARGIN,
@@ -68,13 +68,17 @@
   return windows;
 }
 
-/** `leadMs`: how long before the objective's time the tasks must be started. */
+/**
+ * The window of an objective with the time limit `withinMs`.
+ *
+ * @param leadMs how long before the time limit the tasks must have started
+ */
 function objectiveWindow(job: Job, withinMs: number, leadMs: number, times: TaskTimes): ObjectiveWindow {
   const latestStartAt = job.acceptedAt + withinMs - leadMs;
   return { withinMs, latestStartAt, dueAt: latestStartAt + times.runtimeMs + times.imagePullMs };
 }
 
-/** How long after it was accepted a job without an objective that can still be met should start. */
+/** The delay after acceptance within which a job should start if it has no objective that can still be met. */
 function fallbackDelayMs(job: Job, windows: ObjectiveWindow[], context: SchedulingContext): number {
   if (windows.length === 0)
     return START_DELAY_IN_PROVISIONING_TIMES[job.spec.priority] * provisioningMs(job, context);
@@ -83,14 +87,14 @@
   return MISSED_SLO_FACTOR * lastWithinMs;
 }
 
-/** The latest start, in time of day, by which the nearest objective that can still be met is met. */
+/** The latest start that meets the earliest objective that can still be met, in milliseconds of wall-clock time. */
 export function latestStartTime(job: Job, context: SchedulingContext): number {
   return sloWindowOf(job, context).latestStartAt;
 }
 
 /**
- * How long a running task could be delayed, in milliseconds, with its job still meeting the objective that it is about
- * to meet; Infinity where there is no such objective.
+ * How long a running task may be delayed, in milliseconds, so that its job still meets the tightest objective that it
+ * is on course to meet. Objectives that it will miss anyway are ignored; Infinity if none is left.
  */
 export function runningTaskSlackMs(job: Job, remainingMs: number, context: SchedulingContext): number {
   const { spec, acceptedAt } = job;
--- a/src/placement/starvation-reservation.ts
+++ b/src/placement/starvation-reservation.ts
@@ -1,4 +1,4 @@
-/** Which machine is reserved for a starving job. */
+/** Reserves machines for starving jobs. */
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 import { fits } from "./capacity.js";
@@ -6,8 +6,9 @@
 import type { RoundState } from "./round-state.js";
 
 /**
- * Guards against starving a job of large tasks: small ones would use all capacity that is released before enough of it
- * is free on one machine. One machine that could hold a task of the starving job takes nothing else until it does.
+ * Reserves one machine for a starving job that started no task in this round: the eligible machine with the most free
+ * CPUs. Until a task of the job fits there, the machine takes no other tasks; otherwise small tasks would use all
+ * released capacity before enough of it is free for a large one.
  */
 export function reserveMachineFor(job: Job, state: RoundState): void {
   const { input, reservations, starts } = state;
@@ -18,7 +19,7 @@
     const type = input.types.get(machine.record.type);
     if (!type || !machine.schedulable || reservations.has(machine) || !isEligible(job, machine)) continue;
     if (!fits(type, job.spec)) continue;
-    // The machine that is reserved for the job already stays so.
+    // A machine already reserved for the job stays reserved.
     const isReservedAlready = input.starvationReservations.get(machine) === job;
     const freeCpus = isReservedAlready ? Infinity : type.cpus - machine.usedResources().cpus;
     if (freeCpus > bestFreeCpus) {
--- a/src/placement/victim-search.ts
+++ b/src/placement/victim-search.ts
@@ -1,4 +1,4 @@
-/** On which machine one more task can start, and which tasks must be preempted for it. Pure. */
+/** Finds the machine on which one more task can start with the cheapest preemptions. Pure. */
 import type { Team } from "../config/settings.js";
 import type { Job } from "../workers/job.js";
 import type { Placement } from "../workers/placement.js";
@@ -9,32 +9,33 @@
 import { priorityRank, URGENT_RANK } from "./priority-rank.js";
 import { isWithinQuota, subtractUsage, type QuotaUsage } from "./quota.js";
 
-/** What is the same for all tasks of one job for which capacity is searched. */
+/** The inputs of a search that are the same for all tasks of one job. */
 export interface VictimSearch {
   job: Job;
   team: Team | undefined;
-  /** What the job's team uses. */
+  /** The usage of the job's team. */
   usage: QuotaUsage;
+  /** The usage that counts for every team; see `QuotaSnapshot`. */
   unreconciled: QuotaUsage;
-  /** How many tasks of the job are in each zone. */
+  /** The number of the job's tasks in each zone. */
   tasksByZone: Map<string, number>;
-  /** The position of each job in the queue. */
+  /** The position of each job in scheduling order. */
   queuePositions: Map<Job, number>;
-  /** Whether a task may be preempted for work that is not urgent. */
+  /** Whether a task may be preempted for a job below urgent priority. */
   canBePreempted: (victim: Placement) => boolean;
   /** Steady time in milliseconds. */
   now: number;
 }
 
-/** Where one more task can start and what must be preempted for it. */
+/** A machine on which one more task can start, and the tasks to preempt there first. */
 export interface PreemptionChoice {
   capacity: PreemptableCapacity;
   victims: Placement[];
-  /** Processor time that is lost, in processor seconds. */
+  /** The lost processor time in CPU seconds. */
   cost: number;
 }
 
-/** The cheapest way to make capacity for one more task; null if there is none. */
+/** The machine and victims that make room for one more task at the lowest cost; null if there are none. */
 export function findVictims(
   search: VictimSearch,
   capacities: PreemptableCapacity[],
@@ -43,7 +44,8 @@
   const isQuotaExhausted = !isWithinQuota(team, usage, unreconciled, job.spec);
   let best: PreemptionChoice | null = null;
   for (const capacity of capacities) {
-    // Victims are sorted by priority: where the first is no lower, none is, and most machines are skipped here.
+    // Victims are sorted by priority, lowest first: if the first is not lower than the job, none is. This check skips
+    // most machines.
     const [lowest] = capacity.candidateVictims;
     const hasLowerVictim = lowest !== undefined && priorityRank(lowest.job) < priorityRank(job);
     if (!hasLowerVictim && (isQuotaExhausted || !fits(capacity, job.spec))) continue;
@@ -57,7 +59,7 @@
   return best;
 }
 
-/** What must be preempted on one machine for one more task; null if that does not release enough. */
+/** The tasks to preempt on one machine for one more task; null if preemption cannot release enough. */
 function victimsOnMachine(
   capacity: PreemptableCapacity,
   search: VictimSearch,
@@ -73,7 +75,7 @@
     if (isEnough() || priorityRank(victim.job) >= priorityRank(job)) break;
     if (!mayPreempt(victim, search)) continue;
     const isOfSameTeam = victim.job.spec.team === job.spec.team;
-    // Another team's task releases capacity of the machine, but no quota of this team.
+    // Preempting another team's task releases machine capacity, but none of this team's quota.
     if (isQuotaExhausted && !isOfSameTeam && !isWithinQuotaAfter()) continue;
     victims.push(victim);
     addResources(free, victim.job.spec);
@@ -84,12 +86,15 @@
 
 /** Whether a task of lower priority may be preempted for the job. */
 function mayPreempt(victim: Placement, { job, queuePositions, canBePreempted }: VictimSearch): boolean {
-  // What is served after its victims must not preempt them: they would only start again before it.
+  // A job behind the victim's job in the queue must not preempt it: the victim would start again first.
   if (queuePositions.get(victim.job)! < queuePositions.get(job)!) return false;
   return priorityRank(job) >= URGENT_RANK || canBePreempted(victim);
 }
 
-/** Processor seconds lost: those of saving, or of what was done since the task started. */
+/**
+ * The CPU seconds lost by a preemption: those of the save if the task has checkpoints, else those of its run so far.
+ * One second is counted for a task that is not running.
+ */
 function preemptionCost(victim: Placement, now: number): number {
   const { spec } = victim.job;
   if (victim.state !== "running") return spec.cpus;
--- a/test/capacity-forecast.test.ts
+++ b/test/capacity-forecast.test.ts
@@ -1,4 +1,4 @@
-/** Which waiting tasks need machines to be rented, on small cases whose answers a person can check. */
+/** The forecast of tasks that need rented machines, on cases small enough to verify by hand. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { forecastUnmetDemand } from "../src/placement/capacity-forecast.js";
@@ -7,10 +7,10 @@
 import { newJob, newMachine, NOW, placementInput, startTask } from "./support/shard-state.js";
 
 void describe("placement/capacity-forecast", () => {
-  test("demand is unmet only for tasks for which running ones do not end in time", () => {
+  test("demand is unmet only for waiting tasks that get no capacity in time as running tasks end", () => {
     const machine = newMachine("i-1");
     const running = newJob("req-1", { tasks: 4, estimateS: 60 });
-    // Two end in 10 s, two in 50 s; a rented machine would be there in 24 s.
+    // Two running tasks end in 10 s and two in 50 s; a rented machine is ready in 24 s.
     [50_000, 50_000, 10_000, 10_000].forEach((agoMs, i) => startTask(machine, running, i, NOW - agoMs));
     const queued = newJob("req-2", { tasks: 5, deadlineS: 65, estimateS: 60 });
     const input = placementInput([running, queued], [machine]);
@@ -30,7 +30,7 @@
       [2, "south"],
     ]);
     assert.deepEqual(unmetByZone(newJob("req-3", { spread: true, zone: "south" }), []), [[1, "south"]]);
-    // Free capacity in a zone where half of the job already is counts for nothing.
+    // A zone that holds half of the job takes no more of its tasks, even with free capacity.
     const north = newMachine("i-1");
     startTask(north, spread, 0);
     startTask(north, spread, 1);
--- a/test/job-queue.test.ts
+++ b/test/job-queue.test.ts
@@ -1,4 +1,4 @@
-/** The order in which waiting jobs are served, on small cases whose answers a person can check. */
+/** The scheduling order of waiting jobs, on cases small enough to verify by hand. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { orderByPriority } from "../src/placement/job-queue.js";
@@ -19,17 +19,17 @@
     assert.deepEqual(idsOf(order), ["req-3", "req-2", "req-1"]);
   });
 
-  test("where a team's limit cannot hold all jobs in time, the largest one is deferred", () => {
-    // Four processors: the large job alone takes 600 s, the small ones 60 s each.
+  test("the largest job is deferred if a team's limit is too small for all of its jobs to be in time", () => {
+    // The team's limit is four CPUs: the large job takes 600 s, the small ones 60 s each.
     const large = newJob("req-1", { team: "capped", tasks: 40, deadlineS: 300 });
     const small = ["req-2", "req-3"].map((id) => newJob(id, { team: "capped", tasks: 4, deadlineS: 310 }));
     const order = orderByPriority([large, ...small], placementInput([], []));
     assert.deepEqual(idsOf(order), ["req-2", "req-3", "req-1"]);
   });
 
-  // Fails without the order by `migratedIn`: arrays of a migrated job once went before the shard's own jobs as soon as
-  // they were late.
-  test("a migrated job goes behind the shard's own jobs of its rank, unless it is starving", () => {
+  // Without the sort key `migratedIn`, array jobs migrated from another shard went before the shard's own jobs as soon
+  // as they were late.
+  test("a migrated job goes after the shard's own jobs of the same rank, unless it is starving", () => {
     const migratedJob = (acceptedAt: number, priority: JobSpec["priority"]): Job =>
       new Job(jobSpec("req-3", { priority, tasks: 300 }), acceptedAt, 1, Infinity, true);
     const own = newJob("req-1", { priority: "best_effort" });
@@ -42,6 +42,6 @@
     assert.deepEqual(orderWith(migratedJob(NOW - 130_000, "normal")), ["req-3", "req-2", "req-1"]);
     const started = migratedJob(NOW - 400_000, "normal");
     startTask(newMachine("i-1"), started, 0);
-    assert.deepEqual(orderWith(started), ["req-2", "req-1", "req-3"], "once started it may wait longer");
+    assert.deepEqual(orderWith(started), ["req-2", "req-1", "req-3"], "a started job becomes starving later");
   });
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,4 +1,4 @@
-/** Where tasks start, on small cases whose answers a person can check. */
+/** Placement rounds, shard assignment and machine speed, on cases small enough to verify by hand. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { ShardAssignment } from "../src/jobs/shard-assignment.js";
@@ -19,10 +19,10 @@
   placeRound(input, buildQueue(input), clock, deadlineAt);
 
 void describe("placement/placement-round", () => {
-  test("a round that runs out of time names the job at which the next one goes on", () => {
+  test("a round that reaches its deadline returns the job at which the next round resumes", () => {
     const jobs = ["req-1", "req-2", "req-3"].map((id, i) => newJob(id, {}, NOW + i));
     const machine = newMachine("i-1");
-    // Each look at the clock takes all of the time there is: one job a round.
+    // Every reading of the clock is past the deadline: the round places only one job.
     const round = fullRound(placementInput(jobs, [machine]), () => 10, 5);
     assert.deepEqual([round.starts.length, round.resumeAtJobId], [1, "req-2"]);
     const next = fullRound(placementInput(jobs, [machine], { resumeAtJobId: "req-2" }), () => 0, 5);
@@ -32,7 +32,7 @@
     );
   });
 
-  test("a heartbeat leads to a round for its machine alone, whatever the size of the shard", () => {
+  test("a round for one machine's heartbeat costs the same whatever the number of machines in the shard", () => {
     const few = [newMachine("i-0"), newMachine("i-1")];
     const many = Array.from({ length: 400 }, (_, i) => newMachine(`i-${i}`));
     const jobs = ["req-1", "req-2", "req-3"].map((id) => newJob(id, { tasks: 50 }));
@@ -62,11 +62,11 @@
     );
   });
 
-  test("urgent work prefers a machine with its image to a cheap one", () => {
-    const [cheap, near] = [newMachine("i-1", { spot: true }), newMachine("i-2")];
-    near.images.add("img-1");
+  test("an urgent job prefers a machine with its image to a spot machine, a normal job does not", () => {
+    const [spot, withImage] = [newMachine("i-1", { spot: true }), newMachine("i-2")];
+    withImage.images.add("img-1");
     const hostsFor = (priority: JobSpec["priority"]) =>
-      fullRound(placementInput([newJob("req-1", { priority })], [cheap, near])).starts.map(
+      fullRound(placementInput([newJob("req-1", { priority })], [spot, withImage])).starts.map(
         (start) => start.machine.host,
       );
     assert.deepEqual([hostsFor("urgent"), hostsFor("normal")], [["i-2"], ["i-1"]]);
@@ -74,14 +74,14 @@
 });
 
 void describe("placement/starvation", () => {
-  test("a starving job goes before urgent and smaller ones, and one machine is reserved until its large task fits", () => {
+  test("a starving job goes before urgent and smaller jobs, and a machine is reserved until its task fits", () => {
     const machine = newMachine("i-1");
     const small = newJob("req-1", { tasks: 100, priority: "urgent" });
     for (let i = 0; i < 3; i++) startTask(machine, small, i);
     const large = newJob("req-2", { cpus: 4, priority: "best_effort" }, NOW - 150_000);
     const input = placementInput([small, large], [machine]);
     const round = fullRound(input);
-    // One processor is free, and the small tasks that wait do not get it.
+    // One CPU is free, but the machine is reserved: no small task is placed on it.
     assert.deepEqual([round.starts.length, round.reservations.get(machine)], [0, large]);
     assert.equal(
       placeOnMachine(
@@ -100,7 +100,7 @@
     );
   });
 
-  test("a starving job at its team's limit blocks its team's later jobs, for a period at a time", () => {
+  test("a starving job at its team's limit blocks the team's later jobs, with breaks for them to start", () => {
     const machine = newMachine("i-1");
     const other = newMachine("i-2");
     const running = newJob("req-1", { team: "capped", tasks: 8 });
@@ -112,30 +112,30 @@
     const startedJobs = (round: PlacementRound): string[] =>
       round.starts.map((start) => start.job.spec.id).sort();
     assert.deepEqual(startedJobs(fullRound(input)), ["req-3"]);
-    // Nobody may wait with free capacity for a minute and a half: the jobs behind it get their turn before that.
+    // The block pauses after 60 s: no job may wait for 90 s while capacity is free.
     assert.deepEqual(startedJobs(fullRound({ ...input, wallNow: NOW + 40_000 })), ["req-3", "req-4"]);
   });
 });
 
 void describe("placement/image-locality", () => {
-  test("of jobs with similar slack the one whose image is on the machine goes first, if others have enough machines", () => {
+  test("with similar slack a job with a local image goes first, if enough machines have the other's image", () => {
     const machine = newMachine("i-1");
     machine.images.add("img-b");
     const first = newJob("req-1", { tasks: 4, image: "img-a", deadlineS: 300 });
-    const near = newJob("req-2", { tasks: 4, image: "img-b", deadlineS: 310 });
-    const servedJobs = (hasEnoughImageHolders: boolean, input = placementInput([first, near], [machine])) =>
+    const local = newJob("req-2", { tasks: 4, image: "img-b", deadlineS: 310 });
+    const servedJobs = (hasEnoughImageHolders: boolean, input = placementInput([first, local], [machine])) =>
       placeOnMachine(machine, buildQueue(input), input, () => hasEnoughImageHolders).starts.map(
         (start) => start.job.spec.id,
       );
     assert.deepEqual([...new Set(servedJobs(true))], ["req-2"]);
     assert.deepEqual([...new Set(servedJobs(false))], ["req-1"]);
     const urgent = newJob("req-3", { tasks: 4, image: "img-c", priority: "urgent", deadlineS: 900 });
-    assert.deepEqual([...new Set(servedJobs(true, placementInput([urgent, near], [machine])))], ["req-3"]);
+    assert.deepEqual([...new Set(servedJobs(true, placementInput([urgent, local], [machine])))], ["req-3"]);
   });
 });
 
 void describe("jobs/shard-assignment", () => {
-  test("teams keep to their shards; jobs of a single team go where capacity is free", () => {
+  test("jobs go to their team's shard, or with a single unlimited team to the shard with free capacity", () => {
     const several = new ShardAssignment(teams, 2);
     several.recordLoad(1, { capacity: 8, backlog: 100 });
     assert.equal(several.shardFor(jobSpec("req-1", { team: "capped" })), 1);
@@ -143,7 +143,7 @@
     single.recordLoad(0, { capacity: 8, backlog: 4 });
     single.recordLoad(1, { capacity: 8, backlog: -4 });
     const spec = jobSpec("req-1", { tasks: 10 });
-    // The second one does not count on the capacity that the first has filled.
+    // The first job's demand is subtracted from the free capacity before the second job is assigned.
     assert.deepEqual([single.shardFor(spec), single.shardFor(spec)], [1, 0]);
     const limited = new ShardAssignment(teams.slice(1, 2), 2);
     assert.equal(limited.shardFor(jobSpec("req-1", { team: "capped" })), 0);
@@ -151,7 +151,7 @@
 });
 
 void describe("shards/speed-tracker", () => {
-  test("a machine on which tasks take much longer than others of their jobs is filled last, until they do not", () => {
+  test("a machine that runs tasks much slower than others do is filled last, until it no longer does", () => {
     const speeds = new SpeedTracker(silent);
     const [usual, slow] = [newMachine("i-1"), newMachine("i-2", { spot: true })];
     const complete = (machine: Machine, job: Job, index: number, runMs: number): void => {
@@ -162,7 +162,7 @@
     const waiting = newJob("req-9", { cpus: 4 });
     const chosenHost = (): string | undefined =>
       fullRound(placementInput([waiting], [usual, slow])).starts.map((start) => start.machine.host)[0];
-    // Whatever the estimate: a job whose tasks all take twice as long proves nothing about the machine.
+    // Machines are compared within a job: tasks that all exceed the estimate say nothing about the machine.
     const underestimated = newJob("req-1", { tasks: 20, estimateS: 10 });
     for (let i = 0; i < 20; i++) complete(slow, underestimated, i, 20_000);
     assert.deepEqual([slow.slow, chosenHost()], [false, "i-2"]);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,4 +1,4 @@
-/** Which running tasks are stopped for more urgent work, on small cases whose answers a person can check. */
+/** Preemption of running tasks for more urgent jobs, on cases small enough to verify by hand. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { buildQueue } from "../src/placement/job-queue.js";
@@ -7,7 +7,7 @@
 import type { JobSpec } from "../src/wire/index.js";
 import { endTask, newJob, newMachine, NOW, placementInput, startTask } from "./support/shard-state.js";
 
-/** What can be stopped without much loss. */
+/** The spec of a low-priority job with checkpoints, whose tasks lose little work when preempted. */
 const checkpointed: Partial<JobSpec> = {
   tasks: 4,
   priority: "best_effort",
@@ -17,7 +17,7 @@
 };
 
 void describe("placement/preemption", () => {
-  test("urgent work stops lower work with checkpoints, and no more of it than it needs", () => {
+  test("an urgent job preempts only as many lower-priority tasks with checkpoints as it needs", () => {
     const machine = newMachine("i-1");
     const low = newJob("req-1", checkpointed);
     for (let i = 0; i < 4; i++) startTask(machine, low, i);
@@ -26,7 +26,7 @@
     assert.equal(victims.length, 2);
   });
 
-  test("work without checkpoints is not discarded once it is well begun, and equals do not stop each other", () => {
+  test("tasks without checkpoints that have run for long, and tasks of equal priority, are not preempted", () => {
     const machine = newMachine("i-1");
     const low = newJob("req-1", { tasks: 4, priority: "best_effort", estimateS: 100 });
     for (let i = 0; i < 4; i++) startTask(machine, low, i, NOW - 50_000);
@@ -38,18 +38,18 @@
     assert.deepEqual(choosePreemptions(placementInput([equal, urgent], [other])).victims, []);
   });
 
-  test("a machine stays reserved for the job tasks were stopped for, and the end of overrunning tasks is not counted on", () => {
+  test("a machine stays reserved for the preempting job; tasks past their estimate count as not ending soon", () => {
     const machine = newMachine("i-1");
     const low = newJob("req-1", { tasks: 9, cpus: 2, priority: "normal", checkpointS: 20, estimateS: 20 });
     startTask(machine, low, 0, NOW - 1000);
     startTask(machine, low, 1, NOW - 60_000);
     const urgent = newJob("req-2", { cpus: 3, priority: "urgent" });
     const input = placementInput([low, urgent], [machine]);
-    // The one that has long outrun its estimate may run for long: both must be stopped for three processors.
+    // The task that has exceeded its estimate may run much longer: both must be preempted to free three CPUs.
     const { victims, reservations } = choosePreemptions(input);
     assert.deepEqual([victims.length, reservations.get(machine)], [2, urgent]);
     for (const victim of victims) endTask(victim);
-    // Less urgent work does not use the capacity before the job that it was released for has had its turn.
+    // A lower-priority job must not take the released capacity before the job that it is reserved for.
     const withoutUrgent = { ...input, jobs: [low], preemptionReservations: reservations };
     const lowQueue = buildQueue(withoutUrgent);
     assert.equal(placeRound(withoutUrgent, lowQueue, () => 0, 1).starts.length, 0);
@@ -64,7 +64,7 @@
     );
   });
 
-  test("a task that was stopped once is not stopped again for work that is not urgent", () => {
+  test("a task that was stopped once is not preempted again for a job below urgent priority", () => {
     const machine = newMachine("i-1");
     const low = newJob("req-1", checkpointed);
     for (let i = 0; i < 4; i++) startTask(machine, low, i).resumed = true;
