--- a/src/placement/eligibility.ts
+++ b/src/placement/eligibility.ts
@@ -15,7 +15,7 @@
 /**
  * Whether tasks of a job may start now. A job of an earlier term may be running on any machine that has not been
  * reconciled, so it waits until all are: otherwise a task could run twice (`ran_twice`). A job accepted in this term
- * cannot be running elsewhere.
+ * cannot be running on such a machine.
  */
 export function isStartable(job: Job, term: OwnershipTerm): boolean {
   return (
--- a/src/placement/job-deferral.ts
+++ b/src/placement/job-deferral.ts
@@ -18,7 +18,7 @@
     if (team.cpusMax <= 0) continue;
     const jobsOfTeam = jobs.filter((job) => job.spec.team === team.name);
     jobsOfTeam.sort((a, b) => windows.get(a)!.dueAt - windows.get(b)!.dueAt);
-    deferLargest(jobsOfTeam, team, windows, context, deferred);
+    deferLongest(jobsOfTeam, team, windows, context, deferred);
   }
   return deferred;
 }
@@ -27,7 +27,7 @@
  * The Moore-Hodgson algorithm, which minimizes the number of late jobs on one machine; here the team's CPU quota is the
  * machine. Schedules jobs by due time, and defers the longest one scheduled so far whenever a job would be late.
  */
-function deferLargest(
+function deferLongest(
   jobsByDueTime: Job[],
   team: Team,
   windows: Map<Job, SloWindow>,
@@ -41,10 +41,10 @@
     scheduled.push({ job, durationMs });
     endsAt += durationMs;
     if (endsAt <= windows.get(job)!.dueAt) continue;
-    const largest = scheduled.reduce((a, b) => (b.durationMs > a.durationMs ? b : a));
-    scheduled.splice(scheduled.indexOf(largest), 1);
-    endsAt -= largest.durationMs;
-    deferred.add(largest.job);
+    const longest = scheduled.reduce((a, b) => (b.durationMs > a.durationMs ? b : a));
+    scheduled.splice(scheduled.indexOf(longest), 1);
+    endsAt -= longest.durationMs;
+    deferred.add(longest.job);
   }
 }
 
--- a/src/placement/machine-forecast.ts
+++ b/src/placement/machine-forecast.ts
@@ -56,10 +56,10 @@
 /** The time in milliseconds until one task of the job fits; null if that is longer than `longestWaitMs`. */
 export function earliestFitMs(timeline: FutureCapacity[], job: Job, longestWaitMs: number): number | null {
   const free = { cpus: 0, gpus: 0, memoryGb: 0 };
-  for (const part of timeline) {
-    if (part.availableInMs > longestWaitMs) return null;
-    addResources(free, part);
-    if (fits(free, job.spec)) return part.availableInMs;
+  for (const entry of timeline) {
+    if (entry.availableInMs > longestWaitMs) return null;
+    addResources(free, entry);
+    if (fits(free, job.spec)) return entry.availableInMs;
   }
   return null;
 }
@@ -67,9 +67,9 @@
 /** How many tasks of the job fit at `startsInMs`; at least 1, as the caller has found that one fits. */
 export function slotsAvailableAt(timeline: FutureCapacity[], job: Job, startsInMs: number): number {
   const free = { cpus: 0, gpus: 0, memoryGb: 0 };
-  for (const part of timeline) {
-    if (part.availableInMs > startsInMs) break;
-    addResources(free, part);
+  for (const entry of timeline) {
+    if (entry.availableInMs > startsInMs) break;
+    addResources(free, entry);
   }
   return Math.max(1, slotsPerMachine(job.spec, free));
 }
@@ -92,19 +92,19 @@
   const outstanding = { cpus: need.cpus * tasks, gpus: need.gpus * tasks, memoryGb: need.memoryGb * tasks };
   const released: FutureCapacity = { availableInMs: endsInMs, ...outstanding };
   const remaining: FutureCapacity[] = [];
-  for (const part of timeline) {
-    if (part.availableInMs > startsInMs) {
-      remaining.push(part);
+  for (const entry of timeline) {
+    if (entry.availableInMs > startsInMs) {
+      remaining.push(entry);
       continue;
     }
     for (const kind of RESOURCE_KINDS) {
-      const amount = Math.min(outstanding[kind], part[kind]);
-      part[kind] -= amount;
+      const amount = Math.min(outstanding[kind], entry[kind]);
+      entry[kind] -= amount;
       outstanding[kind] -= amount;
     }
-    if (RESOURCE_KINDS.some((kind) => part[kind] > ROUNDING_TOLERANCE)) remaining.push(part);
+    if (RESOURCE_KINDS.some((kind) => entry[kind] > ROUNDING_TOLERANCE)) remaining.push(entry);
   }
-  const position = remaining.findIndex((part) => part.availableInMs > endsInMs);
+  const position = remaining.findIndex((entry) => entry.availableInMs > endsInMs);
   remaining.splice(position < 0 ? remaining.length : position, 0, released);
   return remaining;
 }
--- a/src/placement/placement-round.ts
+++ b/src/placement/placement-round.ts
@@ -52,7 +52,7 @@
   return resultOf(state, null);
 }
 
-/** The queue position at which the round starts: that of the job to resume at, or 0 if it is no longer queued. */
+/** The queue position at which the round starts: that of the job to resume at; 0 if there is none in the queue. */
 function startPosition(queue: QueueEntry[], { resumeAtJobId }: PlacementInput): number {
   if (resumeAtJobId === null) return 0;
   const position = queue.findIndex(({ job }) => job.spec.id === resumeAtJobId);
--- a/src/placement/scheduling-context.ts
+++ b/src/placement/scheduling-context.ts
@@ -28,6 +28,6 @@
   resumeAtJobId: string | null;
   /** The machines reserved for starving jobs, each with its job. */
   starvationReservations: ReadonlyMap<Machine, Job>;
-  /** The machines on which tasks were preempted, each with the job that has some time to start there first. */
+  /** The machines on which tasks were preempted for a job, reserved for it until it has had time to start there. */
   preemptionReservations: ReadonlyMap<Machine, Job>;
 }
