--- a/test/job-queue.test.ts
+++ b/test/job-queue.test.ts
@@ -19,7 +19,7 @@
     assert.deepEqual(idsOf(order), ["req-3", "req-2", "req-1"]);
   });
 
-  test("the job that takes longest is deferred if a team's limit is too small for all of its jobs to be in time", () => {
+  test("the longest job is deferred if a team's limit is too small for all of its jobs to be in time", () => {
     // The team's limit is four CPUs: the large job takes 600 s, the small ones 60 s each.
     const large = newJob("req-1", { team: "capped", tasks: 40, deadlineS: 300 });
     const small = ["req-2", "req-3"].map((id) => newJob(id, { team: "capped", tasks: 4, deadlineS: 310 }));
