--- a/src/shards/cordons.ts
+++ b/src/shards/cordons.ts
@@ -1,4 +1,4 @@
-/** Cordoned machines: they run empty, so that one can be transferred to a shard without machines. */
+/** Cordons machines of a shard, so that they become empty and can be transferred to a shard that has no machines. */
 import type { Machine } from "../workers/machine.js";
 import type { Placement } from "../workers/placement.js";
 import { expectedRemainingMs } from "../placement/runtime-estimates.js";
@@ -7,20 +7,23 @@
 import type { Logger } from "../runtime/log.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S, PRIORITIES, type MachineType, type Priority } from "../wire/index.js";
 
-/** So many heartbeat intervals a machine stays cordoned after the leader last asked for it. */
+/** For how many heartbeat intervals a machine stays cordoned after the leader's last request. */
 const CORDON_HEARTBEATS = 3;
 
-/** The longest that a machine may take to run empty, as a part of the time that nobody waits beside free capacity. */
+/**
+ * The longest time that a cordoned machine may take to become empty, as a fraction of `MAX_WAIT_WITH_FREE_CAPACITY_S`,
+ * within which no task may wait while there is free capacity for it.
+ */
 const MAX_CORDON_FRACTION = 2 / 3;
 
 interface Cordon {
-  /** The shard that the machine is meant for. */
+  /** The number of the shard that the machine will be transferred to. */
   targetShard: number;
-  /** Until when it stays cordoned unless the leader asks again: steady time in milliseconds. */
+  /** When the cordon ends unless the leader repeats its request: steady time in milliseconds. */
   expiresAt: number;
 }
 
-/** The cordons of one shard; each lasts for as long as the leader goes on asking for it. */
+/** The cordons of one shard: one machine for each target shard, for as long as the leader repeats its request. */
 export class Cordons {
   private readonly cordons = new Map<Machine, Cordon>();
 
@@ -31,8 +34,9 @@
   ) {}
 
   /**
-   * Cordons the machine that suits the demand and will be empty soonest. None is cordoned that would take so long that
-   * its capacity was withheld from this shard's own queue for too long.
+   * Cordons the machine that suits the demand and is expected to be empty first, or extends the cordon that the target
+   * shard already has. Machines that would take too long to become empty are left out, because their free capacity
+   * would be withheld from this shard's own queue meanwhile.
    */
   cordon(targetShard: number, demand: Demand, input: PlacementInput): void {
     const { now } = input;
@@ -52,7 +56,7 @@
     this.log.info({ host: machine.host, shard: this.shard, to: targetShard }, "machine cordoned");
   }
 
-  /** Uncordons the machines that the leader has not asked for lately. */
+  /** Uncordons the machines whose cordon has expired by steady time `now`. */
   expire(now: number): void {
     for (const [machine, { expiresAt }] of this.cordons) {
       if (now <= expiresAt) continue;
@@ -61,7 +65,7 @@
     }
   }
 
-  /** The machine was removed from the shard. */
+  /** Drops the cordon of a machine that was removed from the shard. */
   machineRemoved(machine: Machine): void {
     this.cordons.delete(machine);
   }
@@ -98,7 +102,7 @@
   return emptyInMs;
 }
 
-/** Whether a task is stopped at once where its machine is to run empty: it checkpoints, and is not more urgent. */
+/** Whether a task on a cordoned machine is stopped at once: it checkpoints, and is no more urgent than the demand. */
 function canStopFor({ job: { spec } }: Placement, demand: Demand): boolean {
   return (
     spec.checkpointS > 0 &&
--- a/src/shards/job-migrator.ts
+++ b/src/shards/job-migrator.ts
@@ -1,4 +1,4 @@
-/** Migrates jobs that have not begun to another shard, each in one transaction whose outcome is resolved. */
+/** Migrates jobs without started tasks to other shards, and retries each migration until its outcome is known. */
 import type { Job } from "../workers/job.js";
 import { encodeJob, type JobRecord } from "../jobs/job-records.js";
 import type { SteadyClock } from "../runtime/clock.js";
@@ -12,22 +12,25 @@
 import type { OwnerTerm } from "./owner-term.js";
 import type { Shard } from "./shard.js";
 
-/** What the migration of jobs from one shard is made from. */
+/** The shard, stores and settings that job migration depends on. */
 export interface JobMigratorDependencies {
   readonly shard: Shard;
   readonly term: OwnerTerm;
   readonly state: StateStoreClient;
   readonly view: ReplicaView;
   readonly clock: SteadyClock;
-  /** About the time between two tries of a migration whose outcome is unknown, in milliseconds. */
+  /** The approximate time between two attempts at a migration whose outcome is unknown, in milliseconds. */
   readonly retryMs: number;
   readonly log: Logger;
 }
 
 /**
- * What a try of a migration has shown. `record_changed`: the job's record is not the one that the migration started
- * from, by this transaction or by another; the watch shows what it holds. `rejected` is final: what the transaction was
- * conditional on never comes back, so that an earlier try that is applied late fails as well.
+ * The result of one attempt at a migration.
+ *
+ * - `record_changed`: this transaction or another one has changed the job's record; the watch delivers the new record.
+ * - `rejected`: the migration has failed for good. The versions that the transaction required never return, so that an
+ *   earlier attempt that is applied late fails as well.
+ * - `unknown`: the transaction may have been applied, or may still be.
  */
 type MigrationOutcome = "record_changed" | "rejected" | "unknown";
 
@@ -36,13 +39,14 @@
   writes: Write[];
 }
 
-/** Migrates jobs of one shard to others. */
+/** Moves jobs of one shard to other shards by rewriting their records. */
 export class JobMigrator {
   constructor(private readonly dependencies: JobMigratorDependencies) {}
 
   /**
-   * Migrates a job that has not begun, in one transaction that is conditional on both shards' tokens. Until its outcome
-   * is known none of the job's tasks starts here, and what it may use elsewhere counts against its team's quota.
+   * Migrates a job without started tasks, in one transaction that requires the current tokens of both shards. Until its
+   * outcome is known, none of the job's tasks starts in this shard, and what the job may use in the target shard counts
+   * against its team's quota. Does nothing if the job may not be migrated.
    */
   async migrate(id: string, targetShard: number): Promise<void> {
     const { shard, term, view, clock } = this.dependencies;
@@ -79,7 +83,7 @@
     return writes;
   }
 
-  /** Tries the transaction until its outcome is known, or the owner's term has ended. */
+  /** Retries the transaction until its outcome is known or the owner's term has ended. */
   private async commit(job: Job, targetShard: number, transaction: MigrationTransaction): Promise<void> {
     const { shard, term, retryMs, log } = this.dependencies;
     let outcome = await this.tryCommit(job, transaction);
--- a/src/shards/machine-removal.ts
+++ b/src/shards/machine-removal.ts
@@ -1,4 +1,4 @@
-/** Removes machines from a shard, for the cloud or for another shard, and resolves removals with an unknown outcome. */
+/** Removes machines from a shard, to return or transfer them, and resolves removals whose outcome is unknown. */
 import { StateStoreError } from "../state/state-store-error.js";
 import type { Logger } from "../runtime/log.js";
 import { jittered, sleep } from "../runtime/sleep.js";
@@ -10,32 +10,33 @@
 import type { OwnerTerm } from "./owner-term.js";
 import type { Shard } from "./shard.js";
 
-/** Machines that are to be removed from a shard if they may be, and what for. */
+/** A request to remove machines from a shard: to return them to the cloud, or to transfer them to another shard. */
 export type RemovalRequest =
   { reason: "drain"; hosts: string[] } | { reason: "transfer"; hosts: string[]; targetShard: number };
 
-/** What the removal of machines from one shard is made from. */
+/** The shard, stores and settings that machine removal depends on. */
 export interface MachineRemovalDependencies {
   readonly shard: Shard;
   readonly term: OwnerTerm;
   readonly fleet: Fleet;
   readonly state: StateStoreClient;
-  /** About the time between two tries to resolve an unknown outcome, in milliseconds. */
+  /** The approximate time between two attempts to resolve an unknown outcome, in milliseconds. */
   readonly retryMs: number;
   readonly log: Logger;
 }
 
-/** Whether a transaction that failed so may have been applied, or may yet be. */
+/** Whether a transaction that failed with this error may have been applied, or may still be. */
 const mayBeApplied = (err: unknown): boolean =>
   !(err instanceof StateStoreError) || err.outcome === "unknown";
 
-/** Removes machines from one shard. */
+/** Changes the records of machines that leave one shard. */
 export class MachineRemoval {
   constructor(private readonly dependencies: MachineRemovalDependencies) {}
 
   /**
-   * Marks machines in the records before anyone acts on their removal: a later owner must not place on them either.
-   * Replies with the hosts whose records are changed for sure.
+   * Records the removal of the requested machines that may be removed, and replies with the hosts whose records have
+   * surely changed. The removal is durable before anyone acts on it, because a later owner of the shard must not place
+   * tasks on these machines either.
    */
   async remove(request: RemovalRequest, reply: (hosts: string[]) => void): Promise<void> {
     const { shard, term } = this.dependencies;
@@ -61,7 +62,7 @@
     }
   }
 
-  /** Whether the change is durable for sure; where that is unknown, it is resolved later. */
+  /** Commits the change and returns whether it is surely durable. An unknown outcome is resolved in the background. */
   private async commit(token: number, { conditions, writes, hosts }: FleetChange): Promise<boolean> {
     const { shard, state, log } = this.dependencies;
     const ownership = { key: keys.shard(shard.id), version: token };
@@ -81,8 +82,9 @@
   }
 
   /**
-   * Guards against `ran_twice`: the write may yet be applied, and tasks must not be placed on a machine again before
-   * that is ruled out. A newer version of its group's record, written by this owner, rules it out.
+   * Retries until the outcome of a removal is known. Guards against `ran_twice`: as long as the write may still be
+   * applied, no task may be placed on its machines. A newer version of the machine group's record, written by this
+   * owner, rules that out.
    */
   private async resolve(key: string, hosts: string[]): Promise<void> {
     const { retryMs, log } = this.dependencies;
@@ -96,23 +98,23 @@
     }
   }
 
-  /** Whether the outcome is known, or left to the records. */
+  /** Returns whether nothing is left to resolve: the outcome is known, or the owner's term has ended. */
   private async tryResolve(key: string, hosts: string[]): Promise<boolean> {
     const { shard, term, state } = this.dependencies;
     const token = term.currentToken();
     const entry = await state.read(key);
     const group = readMachineGroup(entry?.value);
-    // Removed or transferred: the watch shows that, and it is followed.
+    // The group was removed or transferred; the shard applies that when the watch delivers it.
     if (entry === null || group?.shard !== shard.id) return true;
-    // Once the term has ended, the removal is of no concern to whoever owns the shard now.
+    // After the end of the term, the shard's next owner goes by the records alone.
     if (token === null) return term.hasEnded();
     if (!(await this.rewriteGroup(token, { key, version: entry.version }, group))) return false;
-    // A machine that was marked for removal after all stays so by its record.
+    // Where the removal was applied, the machine's record keeps tasks away from it.
     shard.cancelRemoval(hosts.filter((host) => host in group.machines));
     return true;
   }
 
-  /** Writes the group as it is: the new version fails the earlier write if it is yet to be applied. */
+  /** Rewrites the group unchanged: its new version makes the earlier write fail if that has not been applied yet. */
   private async rewriteGroup(token: number, unchanged: Condition, group: MachineGroup): Promise<boolean> {
     const { shard, state } = this.dependencies;
     const conditions = [{ key: keys.shard(shard.id), version: token }, unchanged];
--- a/src/shards/migration-preparation.ts
+++ b/src/shards/migration-preparation.ts
@@ -1,18 +1,18 @@
-/** Prepares the migration of a job to another shard on this shard's side. */
+/** The source shard's part in a job migration: preparing it, and undoing the preparation. */
 import type { PlacementInput } from "../placement/scheduling-context.js";
 import type { Job } from "../workers/job.js";
 import { canMigrate, migrationTermsFor, type MigrationTerms } from "../placement/migration-policy.js";
 import type { QuotaReservations } from "./quota-reservations.js";
 
-/** A job that is being migrated, and on what terms. */
+/** A job that is being migrated, and the terms on which the target shard may run it. */
 export interface PreparedMigration {
   job: Job;
   terms: MigrationTerms;
 }
 
 /**
- * Prepares a job's migration: from now on none of its tasks starts here, and what it may use elsewhere is reserved.
- * Null if the job may not be migrated.
+ * Prepares the migration of a job: none of its tasks starts in this shard from now on, and the resources that it may
+ * use in another shard are reserved from its team's quota. Returns null if the job may not be migrated.
  */
 export function beginMigration(
   job: Job,
@@ -27,7 +27,7 @@
   return { job, terms };
 }
 
-/** The job has surely not been migrated. */
+/** Undoes `beginMigration` for a job that has surely not been migrated. */
 export function cancelMigration(job: Job, reservations: QuotaReservations): void {
   job.migrating = false;
   reservations.release(job.spec.id);
--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -1,4 +1,4 @@
-/** Drives placement for one shard: keeps the queue and the reservations from round to round, and starts tasks. */
+/** Runs the placement rounds of one shard, keeping its job queue and reservations between rounds. */
 import { type QueueEntry, buildQueue } from "../placement/job-queue.js";
 import type { PlacementInput } from "../placement/scheduling-context.js";
 import { attach, newPlacement } from "../workers/placement.js";
@@ -18,13 +18,13 @@
 import type { QuotaReservations } from "./quota-reservations.js";
 import type { SpeedTracker } from "./speed-tracker.js";
 
-/** With more than this fraction of its processors free a shard has spare capacity. */
+/** A shard has spare capacity if more than this fraction of its processors is free. */
 const SPARE_CAPACITY_FRACTION = 1 / 8;
 
-/** What the placement of one shard is made from. */
+/** The state, settings and collaborators that placement in one shard depends on. */
 export interface PlacementSchedulerDependencies {
   readonly shard: number;
-  /** The fencing token with which this owner's term began. */
+  /** The shard's fencing token at the start of this owner's term. */
   readonly termToken: number;
   readonly settings: Settings;
   readonly types: () => Map<string, MachineType>;
@@ -35,14 +35,14 @@
   readonly log: Logger;
 }
 
-/** Places the waiting tasks of one shard. */
+/** Assigns the waiting tasks of one shard to its machines, in full rounds or on one machine after its heartbeat. */
 export class PlacementScheduler {
   readonly attempts = new AttemptNumbers();
-  /** Machines on which tasks were preempted for a job, and until when they are reserved for it. */
+  /** Machines reserved for the job for which tasks were preempted on them. */
   readonly preemptionReservations = new PreemptionReservations();
-  /** The waiting jobs in the order of the last full round. */
+  /** The waiting jobs, in the order that the last full round determined. */
   private queue: QueueEntry[] = [];
-  /** The job at which the last full round ran out of time. */
+  /** The id of the job at which the last full round ran out of time; null if the round was complete. */
   private resumeAtJob: string | null = null;
   private hasSpareCapacity = false;
   private starvationReservations = new Map<Machine, Job>();
@@ -51,18 +51,21 @@
   constructor(private readonly dependencies: PlacementSchedulerDependencies) {}
 
   /**
-   * Whether a heartbeat should lead to a full round: jobs were added since the last one, or there is spare capacity.
-   * With spare capacity the machine whose heartbeat comes next is not the best one: tasks are packed onto full
-   * machines, so that the others run empty and can be returned.
+   * Whether a heartbeat should trigger a full round: jobs were added since the last round, or there is spare capacity.
+   * With spare capacity, tasks are packed onto the fullest machines so that the others become empty and can be returned
+   * to the cloud; placing on whichever machine reports next would defeat that.
    */
   get needsFullRound(): boolean {
     return this.dependencies.jobs.hasNewJobs || this.hasSpareCapacity;
   }
 
-  /** A full round over the shard until steady time `deadline`; returns how many tasks were placed. */
+  /**
+   * Runs a full round over all machines of the shard, until steady time `deadline` at the latest. Returns the number of
+   * tasks placed.
+   */
   place(token: number, now: number, clock: SteadyClock, deadline: number): number {
     this.dependencies.jobs.hasNewJobs = false;
-    // Most rounds find nothing to place: they must not cost a pass over every machine of a large shard.
+    // Most rounds have nothing to place, and must not pay for a pass over every machine of a large shard.
     const input = this.hasWaitingTasks() ? this.placementInput(now) : null;
     this.queue = input === null ? [] : buildQueue(input);
     if (input === null || this.queue.length === 0) {
@@ -79,18 +82,21 @@
     return started;
   }
 
-  /** Offers the free capacity of a machine that has just reported to the queue; returns how many tasks were placed. */
+  /** Places queued tasks on a machine that has just sent a heartbeat. Returns the number of tasks placed. */
   placeOnMachine(host: string, token: number, now: number): number {
     const machine = this.dependencies.machines.byHost.get(host);
     if (machine === undefined || !machine.schedulable || this.queue.length === 0) return 0;
-    // Jobs accepted since the last full round are served from the next one on, in their order.
+    // The queue is that of the last full round: jobs accepted since then are placed from the next full round on.
     const hasEnoughImageHolders = (job: Job): boolean =>
       this.imageHolders.canHoldWaiting(job, this.dependencies.types().get(machine.record.type));
     const input = this.placementInput(now);
     return this.applyRound(placeOnMachine(machine, this.queue, input, hasEnoughImageHolders), token, now);
   }
 
-  /** The commands for what was placed on a machine since its heartbeat was reconciled. */
+  /**
+   * The start commands for attempts that are assigned to a machine and have not been seen in a heartbeat. None while
+   * the worker does not follow this owner's term.
+   */
   startCommands(host: string): WorkerCommand[] {
     const machine = this.dependencies.machines.byHost.get(host);
     if (!machine?.followsTerm) return [];
@@ -99,7 +105,7 @@
       .map(({ job, index, attempt }) => ({ op: "start", job: job.spec.id, index, attempt }));
   }
 
-  /** What decisions about the shard are made on; `now` is steady time in milliseconds. */
+  /** The input of all scheduling decisions about the shard; `now` is steady time in milliseconds. */
   placementInput(now: number): PlacementInput {
     const { jobs, machines, types, settings, speeds, termToken, quotaReservations } = this.dependencies;
     return {
@@ -120,7 +126,7 @@
     };
   }
 
-  /** The machine was removed from the shard. */
+  /** Drops the reservations on a machine that was removed from the shard. */
   machineRemoved(machine: Machine): void {
     this.starvationReservations.delete(machine);
     this.preemptionReservations.release(machine);
--- a/src/shards/preemption-reservations.ts
+++ b/src/shards/preemption-reservations.ts
@@ -1,31 +1,31 @@
-/** Machines that are reserved for a limited time for the job for which tasks were preempted there. */
+/** Time-limited reservations of machines for the jobs for which tasks were preempted on them. */
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 
 interface PreemptionReservation {
   job: Job;
-  /** Steady time in milliseconds. */
+  /** When the reservation ends: steady time in milliseconds. */
   expiresAt: number;
 }
 
 /**
- * Guards against preempting tasks in vain: other waiting jobs would take the capacity before enough of it is free for
- * the job that it was freed for.
+ * Keeps capacity that was freed by preemption for the job that needs it. Otherwise other waiting jobs would take the
+ * capacity before there is enough of it, and the tasks would have been preempted in vain.
  */
 export class PreemptionReservations {
   private readonly reservations = new Map<Machine, PreemptionReservation>();
 
-  /** Reserves a machine for a job until steady time `until`, in milliseconds. */
+  /** Reserves a machine for a job until steady time `expiresAt`, in milliseconds; replaces an earlier reservation. */
   reserve(machine: Machine, job: Job, expiresAt: number): void {
     this.reservations.set(machine, { job, expiresAt });
   }
 
-  /** The machine was removed from the shard. */
+  /** Drops the reservation of a machine that was removed from the shard. */
   release(machine: Machine): void {
     this.reservations.delete(machine);
   }
 
-  /** The reservations in force; removes those that have expired or whose job has no waiting tasks any more. */
+  /** Drops the reservations that have expired or whose job has no waiting tasks left, and returns the others. */
   active(now: number): Map<Machine, Job> {
     const active = new Map<Machine, Job>();
     for (const [machine, { job, expiresAt }] of this.reservations) {
--- a/src/shards/quota-reservations.ts
+++ b/src/shards/quota-reservations.ts
@@ -1,60 +1,61 @@
-/** What a shard reserves of its teams' quotas for jobs that were migrated to other shards. */
+/** Reservations from the quotas of a shard's teams for jobs that were migrated to other shards. */
 import type { QuotaReservation } from "../jobs/job-records.js";
 import type { QuotaUsage } from "../placement/quota.js";
 
 interface HeldReservation {
   reservation: QuotaReservation;
-  /** Since when the job is known to have ended, steady time in milliseconds; null while it is live. */
+  /** The steady time, in milliseconds, at which the job's end was first seen; null while the job is live. */
   endedAt: number | null;
 }
 
 /**
- * Guards against two owners that each estimate how much of one quota is left: the shard that enforces the quota counts
- * all that a job may use elsewhere, from before the job's migration until its last task is surely gone.
+ * The quota reserved for migrated jobs, by job and in total. Only one shard enforces the quota of a team, because two
+ * owners that each estimated the remaining quota could exceed it together. That shard counts everything that a migrated
+ * job may use in another shard, from before its migration until its last task has surely ended.
  */
 export class QuotaReservations {
   private readonly held = new Map<string, HeldReservation>();
   private totalByTeam = new Map<string, QuotaUsage>();
 
   constructor(
-    /** How long tasks of a job may run on once the job is known to have ended. */
+    /** How long tasks of a job may keep running once the job is known to have ended, in milliseconds. */
     private readonly taskExpiryMs: number,
   ) {}
 
-  /** What is reserved, by team. */
+  /** The total of the reservations, by team. */
   get usage(): ReadonlyMap<string, QuotaUsage> {
     return this.totalByTeam;
   }
 
-  /** The jobs for which something is reserved. */
+  /** The ids of the jobs that have a reservation. */
   get jobs(): string[] {
     return [...this.held.keys()];
   }
 
-  /** Whether something is reserved for a job. */
+  /** Whether a job has a reservation. */
   has(job: string): boolean {
     return this.held.has(job);
   }
 
-  /** Reserves for a job that is being migrated; a reservation that exists already is kept. */
+  /** Adds a reservation for a job that is being migrated; an existing one is kept unchanged. */
   reserve(job: string, reservation: QuotaReservation): void {
     if (this.held.has(job)) return;
     this.held.set(job, { reservation, endedAt: null });
     this.recomputeTotals();
   }
 
-  /** The job was not migrated after all, or none of its tasks runs any more. */
+  /** Drops the reservation of a job that was not migrated, or none of whose tasks runs any more. */
   release(job: string): void {
     if (this.held.delete(job)) this.recomputeTotals();
   }
 
-  /** The job's record is gone: its tasks may run on for a while. */
+  /** Records that a job's record is gone. Its reservation lasts until `expire`, as its tasks may still be running. */
   jobEnded(job: string, now: number): void {
     const held = this.held.get(job);
     if (held) held.endedAt ??= now;
   }
 
-  /** Ends the reservations of jobs whose last task is surely gone, and returns these jobs. */
+  /** Drops the reservations of jobs whose last task has surely ended by steady time `now`; returns the jobs' ids. */
   expire(now: number): string[] {
     const expired = [...this.held]
       .filter(([, { endedAt }]) => endedAt !== null && now - endedAt > this.taskExpiryMs)
--- a/src/shards/removal-candidates.ts
+++ b/src/shards/removal-candidates.ts
@@ -1,15 +1,15 @@
-/** Which machines of a shard may be removed from it, and which of them have to be recorded first. */
+/** Selects the machines of a shard that may be removed, and those whose first heartbeat is not recorded yet. */
 import type { Machine } from "../workers/machine.js";
 
-/** Why machines are removed: `drain` returns them to the cloud, `transfer` gives them to another shard. */
+/** Why machines are removed: `drain` returns them to the cloud, `transfer` moves them to another shard. */
 export type RemovalReason = "drain" | "transfer";
 
-/** So many heartbeats in a row must have shown a machine empty before it may be removed. */
+/** How many consecutive heartbeats must show a machine empty before it may be removed. */
 const MIN_EMPTY_HEARTBEATS = 2;
 
 /**
- * Selects those of the hosts that may be removed, and marks them: nothing is placed on them from now on. The mark is
- * taken back with `cancelRemoval`.
+ * Returns those of the hosts that may be removed, and sets `removalPending` on them: nothing is placed on them until
+ * `cancelRemoval` clears it.
  */
 export function beginRemoval(
   machines: ReadonlyMap<string, Machine>,
@@ -25,7 +25,7 @@
   });
 }
 
-/** The machines are not removed after all. */
+/** Allows placement again on machines whose removal was not carried out. */
 export function cancelRemoval(machines: ReadonlyMap<string, Machine>, hosts: string[]): void {
   for (const host of hosts) {
     const machine = machines.get(host);
@@ -33,7 +33,7 @@
   }
 }
 
-/** The machines that have reported while their records do not show it yet. */
+/** The hosts that have sent heartbeats but are not yet recorded as having reported. */
 export function findUnrecordedHosts(machines: Iterable<Machine>): string[] {
   return [...machines].filter(isUnrecorded).map(({ host }) => host);
 }
@@ -42,7 +42,10 @@
   return machine.healthy && machine.empty && machine.emptyHeartbeats >= MIN_EMPTY_HEARTBEATS;
 }
 
-/** Such a machine need not be empty to be returned: the return itself proves that nothing runs on it any more. */
+/**
+ * Whether a machine cannot be used any more. It may be returned to the cloud without being empty: the return itself
+ * proves that nothing runs on it any more.
+ */
 function isLost(machine: Machine): boolean {
   return (
     !machine.followsTerm || machine.leaseExpiredAt !== null || machine.responsesLost || machine.quarantined
--- a/src/shards/round-throttle.ts
+++ b/src/shards/round-throttle.ts
@@ -1,21 +1,21 @@
-/** Limits how often one shard's owner makes full placement rounds and looks for tasks to preempt. */
+/** Limits how often the owner of one shard runs full placement rounds and searches for tasks to preempt. */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Shard } from "./shard.js";
 import type { ShardOwnerTimings } from "./shard-owner-messages.js";
 
-/** Full rounds that heartbeats lead to take at most about this fraction of the time. */
+/** The fraction of time, approximately, that full rounds triggered by heartbeats may take. */
 const ROUND_TIME_FRACTION = 1 / 8;
 
-/** What the throttle of one shard's rounds is made from. */
+/** The shard, time limits and clock that the throttle depends on. */
 export interface RoundThrottleDependencies {
   readonly shard: Shard;
   readonly timings: Pick<ShardOwnerTimings, "roundBudgetMs" | "preemptionSpacingMs">;
   readonly clock: SteadyClock;
 }
 
-/** Makes the placement rounds of one shard. */
+/** Runs placement rounds and preemption searches of one shard, and skips those that are not due. */
 export class RoundThrottle {
-  /** Steady time in milliseconds before which no heartbeat leads to a full round. */
+  /** Steady time in milliseconds before which heartbeats do not trigger a full round. */
   private nextRoundAt = -Infinity;
   private lastPreemptionAt = -Infinity;
   private readonly shard: Shard;
@@ -28,24 +28,30 @@
     this.clock = clock;
   }
 
-  /** Places after a heartbeat: a full round if one is due, else on the machine alone. Returns whether tasks were placed. */
+  /**
+   * Places tasks after a heartbeat: in a full round if one is needed and due, otherwise on the machine that reported.
+   * Returns whether tasks were placed.
+   */
   placeAfterHeartbeat(host: string, token: number, now: number): boolean {
     if (this.shard.needsFullRound && now >= this.nextRoundAt) return this.place(token);
     return this.shard.placeOnMachine(host, token, now) > 0;
   }
 
-  /** A full placement round; returns whether tasks were placed. */
+  /** Runs a full placement round. Returns whether tasks were placed. */
   place(token: number): boolean {
     const startedAt = this.clock();
     const deadline = startedAt + this.timings.roundBudgetMs;
     const placed = this.shard.place(token, startedAt, this.clock, deadline) > 0;
     const endedAt = this.clock();
-    // Guards against a large shard whose every heartbeat leads to a full round: it would have time for little else.
+    // In a large shard a full round at every heartbeat would leave little time for anything else.
     this.nextRoundAt = endedAt + (endedAt - startedAt) / ROUND_TIME_FRACTION;
     return placed;
   }
 
-  /** Looks for tasks to preempt, once the last ones that were chosen could have been seen stopped. */
+  /**
+   * Searches for tasks to preempt, at most once every `preemptionSpacingMs`, so that the tasks chosen by one search have
+   * time to stop before the next one.
+   */
   preempt(now: number): void {
     if (now - this.lastPreemptionAt < this.timings.preemptionSpacingMs) return;
     this.lastPreemptionAt = now;
--- a/src/shards/task-eviction.ts
+++ b/src/shards/task-eviction.ts
@@ -1,4 +1,4 @@
-/** Stops running tasks: for more urgent ones, and before the cloud takes their machine. */
+/** Chooses running tasks to stop: for more urgent tasks, or before the cloud interrupts their machine. */
 import type { PlacementInput } from "../placement/scheduling-context.js";
 import type { Machine } from "../workers/machine.js";
 import type { Placement } from "../workers/placement.js";
@@ -7,16 +7,16 @@
 import type { Logger } from "../runtime/log.js";
 import type { PreemptionReservations } from "./preemption-reservations.js";
 
-/** So many heartbeat intervals a machine stays reserved for the job for which tasks were stopped there. */
+/** For how many heartbeat intervals, beyond the saving time, a machine is reserved for the job that preempted there. */
 const PREEMPTION_RESERVATION_HEARTBEATS = 3;
 
-/** So many heartbeats it takes to stop a task and to see it stopped. */
+/** How many heartbeats it takes to send a stop to a worker and to see in a report that the task has stopped. */
 const STOP_HEARTBEATS = 3;
 
-/** The cloud may interrupt a machine after this fraction of the time that its notice gives. */
+/** The cloud may interrupt a machine after only this fraction of the time that its interruption notice states. */
 const MIN_NOTICE_FRACTION = 1 / 2;
 
-/** What the eviction of tasks of one shard is made from. */
+/** The settings and collaborators that task eviction in one shard depends on. */
 export interface TaskEvictionDependencies {
   readonly shard: number;
   readonly reservations: PreemptionReservations;
@@ -25,11 +25,14 @@
   readonly log: Logger;
 }
 
-/** Marks the tasks of one shard that are to be stopped; the stops go out with the machines' next responses. */
+/** Marks tasks of one shard to be stopped; the stop commands are sent in the next responses to their workers. */
 export class TaskEviction {
   constructor(private readonly dependencies: TaskEvictionDependencies) {}
 
-  /** Stops less urgent tasks where that frees capacity for more urgent ones in time; `deadline` bounds the search. */
+  /**
+   * Preempts less urgent tasks where that frees capacity for more urgent ones in time, and reserves the machines for
+   * them. The search ends at steady time `deadline` at the latest.
+   */
   preempt(input: PlacementInput, clock: SteadyClock, deadline: number): void {
     const { shard, reservations, heartbeatIntervalMs, log } = this.dependencies;
     const preemptionInput = { ...input, heartbeatIntervalMs };
@@ -45,7 +48,10 @@
     if (victims.length > 0) log.debug({ shard, stopped: victims.length }, "tasks preempted");
   }
 
-  /** Stops the tasks that can save before the cloud takes their machine. */
+  /**
+   * Stops tasks that checkpoint on machines with an interruption notice, as soon as the time left may be no more than
+   * they need to save.
+   */
   drainInterrupted(machines: Iterable<Machine>): void {
     for (const machine of machines) {
       if (machine.interruptionNoticeS === null) continue;
