--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -1,4 +1,4 @@
-/** Traces of one shard: records and heartbeats in, commands, writes and summaries out; and what a take-over costs. */
+/** Replays traces of one shard (records and heartbeats in; commands, writes and summaries out); cost of a take-over. */
 import { Machine } from "../src/workers/machine.js";
 import assert from "node:assert/strict";
 import { describe, mock, test } from "node:test";
@@ -17,7 +17,7 @@
 import { newShard } from "./support/shard.js";
 import { listOption, numberOption, traceTests, type TraceStep, type TraceEvent } from "./support/trace.js";
 
-/** Attempts are written as token+count, so that a trace shows in whose term they began. */
+/** Formats an attempt number as token+count, so that a trace shows in which owner's term the attempt began. */
 const formatAttempt = (attempt: number): string =>
   attempt < 2 ** 20 ? String(attempt) : `${Math.floor(attempt / 2 ** 20)}+${attempt % 2 ** 20}`;
 const parseAttempt = (text: string): number => {
@@ -33,7 +33,7 @@
 const formatWrite = (write: Write): string =>
   "put" in write ? `put ${write.put} ${JSON.stringify(write.value)}` : `remove ${write.remove}`;
 
-/** A heartbeat as a worker sends it; a machine of the small type unless it says otherwise. */
+/** Parses a heartbeat in its wire format; by default it comes from a machine of the small type. */
 function workerHeartbeat(fields: Record<string, unknown>): ReturnType<typeof parseHeartbeat> {
   const machine = { addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: false };
   return parseHeartbeat({ ...machine, tenure: 1, baton: 0, recallS: null, pieces: [], ...fields });
@@ -43,7 +43,7 @@
   return { shard, type: "small", zone, spot: false, since: 0, machines };
 }
 
-/** One shard and its records, changed by the events of a trace. */
+/** A shard and its records, to which the events of a trace are applied. */
 class ShardScenario {
   private readonly view = new FakeView();
   private version = 0;
@@ -53,7 +53,7 @@
   private writtenCompletions: Completion[] = [];
 
   private get shard(): Shard {
-    assert.ok(this.currentShard !== null, "a trace takes the shard over before it uses it");
+    assert.ok(this.currentShard !== null, "a trace must take the shard over before it uses it");
     return this.currentShard;
   }
 
@@ -106,10 +106,10 @@
         .machines.map(({ host, state, emptyHeartbeats }) => `${host} ${state} ${emptyHeartbeats}`),
   };
 
-  /** Carries out one event and returns the lines that came of it. */
+  /** Applies one event and returns the lines of its outcome. */
   step(event: TraceEvent): string[] {
     const handler = this.handlers[event.verb];
-    if (handler === undefined) throw new Error(`no such event as ${event.verb}`);
+    if (handler === undefined) throw new Error(`unknown trace event: ${event.verb}`);
     return handler(event.words[0] ?? "", event);
   }
 
@@ -207,7 +207,7 @@
 const TASKS_PER_JOB = 100;
 const TASKS_PER_MACHINE = 4;
 
-/** What an earlier owner has left: full machines, and more waiting tasks than there is capacity for. */
+/** Records of a shard with full machines, and with more waiting tasks than there is capacity for. */
 function putFullShard(view: FakeView, hosts: string[]): void {
   for (let first = 0; first < MACHINES; first += GROUP_SIZE) {
     const members = hosts.slice(first, first + GROUP_SIZE);
@@ -229,7 +229,7 @@
 }
 
 void describe("shards/shard: cost of a take-over", () => {
-  test("each heartbeat costs a look at its own machine, and each record is read once", () => {
+  test("after a take-over each heartbeat reads the usage of its own machine only, and each record is read once", () => {
     const view = new FakeView();
     const hosts = Array.from({ length: MACHINES }, (_, i) => `i-${i}`);
     putFullShard(view, hosts);
@@ -251,10 +251,10 @@
     assert.equal(shard.recovered, true);
     assert.ok(
       usageReads.mock.callCount() <= 2 * MACHINES,
-      `${usageReads.mock.callCount()} looks at machines`,
+      `${usageReads.mock.callCount()} reads of machine usage`,
     );
     assert.equal(listCalls.mock.callCount(), listCallsAtStart);
-    assert.ok(listCallsAtStart <= 6, `${listCallsAtStart} listings of the records`);
+    assert.ok(listCallsAtStart <= 6, `${listCallsAtStart} list calls on the records`);
     mock.restoreAll();
   });
 });
--- a/test/support/cancellation-chains.ts
+++ b/test/support/cancellation-chains.ts
@@ -1,15 +1,15 @@
-/** Jobs that are cancelled while their shard has one owner after the other, each of which hears a worker only once. */
+/** Fault combinations in which a job is cancelled while a series of owners each receive one heartbeat per worker. */
 import assert from "node:assert/strict";
 import type { FaultCombination } from "./fault-combinations.js";
 import type { Simulation, SimulatedNode, UserJob } from "./simulation.js";
 
-/** Tasks that fill one machine, so that all of them hang on one worker's lease. */
+/** As many tasks as fill one machine, so that all of them depend on one worker's lease. */
 const TASKS_PER_MACHINE = 4;
 const RUN_MS = 600_000;
-/** A controller that was killed is back within a fraction of a second. */
+/** A crashed controller is restarted within a fraction of a second. */
 const RESTART_MS = 300;
 
-/** A job all of whose tasks run on one machine, and go on for longer than the test. */
+/** Starts a job whose tasks all run on one machine, for longer than the test takes. */
 async function runJobOnOneMachine(world: Simulation): Promise<UserJob> {
   (world.workers.runOf ??= new Map()).set("req-1", RUN_MS);
   const job = world.submit("req-1", { pieces: TASKS_PER_MACHINE, guessS: RUN_MS / 1000 });
@@ -18,14 +18,14 @@
   return job;
 }
 
-/** The highest token that the worker with the job's tasks has seen. */
+/** The highest token seen by the worker that runs the job's tasks; null if none of them runs. */
 function highestTokenAtWorker(world: Simulation, job: UserJob): number | null {
   for (const worker of world.cloud.machines.values())
     for (const piece of worker.running) if (world.jobOf(piece) === job) return worker.highestToken;
   return null;
 }
 
-/** Waits until another owner than before has answered the job's worker, or nothing of the job runs. */
+/** Waits until an owner with a newer token has responded to the job's worker, or no task of the job runs. */
 async function waitForNewOwnersResponse(
   world: Simulation,
   job: UserJob,
@@ -37,7 +37,7 @@
   }, 60_000);
 }
 
-/** Ends each owner right after its first answer to the job's worker, for longer than a cancellation may take. */
+/** Stops each owner right after its first response to the job's worker, for longer than a cancellation may take. */
 async function stopOwnersAfterFirstResponse(
   world: Simulation,
   job: UserJob,
@@ -52,22 +52,22 @@
   }
 }
 
-/** A running job, cancelled by another controller while the state service refuses its owner, who hears nothing of it. */
+/** Has another controller cancel a running job while the state service refuses the owner, which cannot see this. */
 async function cancelUnseenByOwner(world: Simulation): Promise<UserJob> {
   const job = await runJobOnOneMachine(world);
   const owner = world.ownerOf(0)!;
   const other = world.nodes.find((node) => node !== owner)!;
   world.store.refused.add(owner.index);
   await Promise.race([world.cancel(job, other), world.run(5000)]);
-  assert.ok(job.cancelledAt !== null, "confirmed");
+  assert.ok(job.cancelledAt !== null, "the cancellation is confirmed");
   world.store.refused.delete(owner.index);
   return job;
 }
 
-/** Guarded by the stops that go out with an owner's first answer: see `Renewal.decide`. */
+/** Guard against `ran_cancelled`: an owner's first response must stop cancelled tasks; see `LeaseRenewal.decide`. */
 export const cancellationChains: FaultCombination[] = [
   {
-    name: "an owner ends after its first answer to each worker and is back within a moment, again and again, while a job is cancelled",
+    name: "a job is cancelled while its owner repeatedly crashes after its first response to each worker and restarts",
     async play(world) {
       const job = await cancelUnseenByOwner(world);
       await stopOwnersAfterFirstResponse(world, job, async (current) => {
@@ -78,12 +78,12 @@
     },
   },
   {
-    name: "owners follow each other, and each ends before any worker reports to it twice, while a job is cancelled",
+    name: "a job is cancelled while owners succeed each other, each crashing before any worker reports to it twice",
     async play(world) {
       const job = await cancelUnseenByOwner(world);
       await stopOwnersAfterFirstResponse(world, job, async (current) => {
         world.crash(current);
-        // Only another controller may take the shard over; the one that ended comes back too late for it.
+        // The crashed controller is restarted only once another one owns the shard.
         await world.runUntil(() => world.ownerOf(0) !== current, 20_000);
         world.launch(current);
       });
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -1,12 +1,12 @@
-/** Builders of records, and a replica that is written by hand. */
+/** Builders of records, a machine type, a silent logger and an in-memory replica view. */
 import { pino } from "pino";
 import type { RecordChange, RecordEntry, JobSpec, MachineType } from "../../src/wire/index.js";
 import type { ReplicaView } from "../../src/state/replica.js";
 
-/** A log that writes nothing. */
+/** A logger that discards everything. */
 export const silentLogger = pino({ level: "silent" });
 
-/** A replica that is written by hand. */
+/** An in-memory replica view whose records a test writes directly. */
 export class FakeView implements ReplicaView {
   revision = 0;
   completeAsOf = 0;
@@ -34,7 +34,7 @@
   }
 }
 
-/** A machine type without anything special. */
+/** The default machine type: four processors, no GPU. */
 export const smallType: MachineType = {
   name: "small",
   cpus: 4,
@@ -48,7 +48,7 @@
   zones: ["north", "south"],
 };
 
-/** A job of one small task, but for what is given. */
+/** Builds the spec of a job; by default of one small task that may run anywhere. */
 export function jobSpec(id: string, overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id,
--- a/test/support/shard-state.ts
+++ b/test/support/shard-state.ts
@@ -1,4 +1,4 @@
-/** Jobs, machines and attempts made by hand, and what scheduling decisions on them are made from. */
+/** Builders of jobs, machines and attempts, and of the input of scheduling decisions about them. */
 import type { PlacementInput } from "../../src/placement/scheduling-context.js";
 import type { JobSpec } from "../../src/wire/index.js";
 import { Job } from "../../src/workers/job.js";
@@ -8,15 +8,15 @@
 import { jobSpec, smallType } from "./records.js";
 import { testSettings } from "./settings.js";
 
-/** The steady time and the time of day of all decisions, unless a test says otherwise. */
+/** The default steady time and wall-clock time of decisions, in milliseconds. */
 export const NOW = 1_000_000;
 
-/** A job that was accepted just now, with a record of version 1. */
+/** Creates a job with a record of version 1, accepted at `NOW` by default. */
 export function newJob(id: string, specOverrides: Partial<JobSpec> = {}, acceptedAt = NOW): Job {
   return new Job(jobSpec(id, specOverrides), acceptedAt, 1);
 }
 
-/** An empty machine of the small type on which tasks may be placed. */
+/** Creates an empty, schedulable machine of the small type. */
 export function newMachine(
   host: string,
   overrides: Partial<Pick<MachineRecord, "spot" | "zone">> = {},
@@ -28,7 +28,7 @@
   return machine;
 }
 
-/** A running attempt of a task; it is attached to its job and machine. */
+/** Creates a running attempt of a task, attached to its job and machine. */
 export function startTask(machine: Machine, job: Job, index: number, runningSince = NOW): Placement {
   const placement = newPlacement(job, index, index + 1, machine, runningSince);
   placement.state = "running";
@@ -36,13 +36,13 @@
   return placement;
 }
 
-/** Removes an attempt from its job and machine. */
+/** Detaches an attempt from its job and machine. */
 export function endTask(placement: Placement): void {
   placement.machine.detach(placement);
   placement.job.detach(placement);
 }
 
-/** What decisions about these jobs and machines are made from. */
+/** Builds the input of scheduling decisions about these jobs and machines. */
 export function placementInput(
   jobs: Job[],
   machines: Machine[],
--- a/test/support/trace.ts
+++ b/test/support/trace.ts
@@ -1,6 +1,7 @@
 /**
- * OwnedShard traces: a text of events, each followed by what came of it, indented. A run replays the events and must
- * come to the same text. `UPDATE_TRACES=1` writes what came out instead; the difference is then read by a person.
+ * Runs trace tests. A trace is a text of events, each followed by its outcome on indented lines. The test replays the
+ * events and compares the outcome with the text. With `UPDATE_TRACES=1` it rewrites the trace instead of comparing; the
+ * difference must then be reviewed.
  */
 import assert from "node:assert/strict";
 import { readFileSync, readdirSync, writeFileSync } from "node:fs";
@@ -9,12 +10,13 @@
 
 export interface TraceEvent {
   verb: string;
-  /** The words without an equals sign, after the verb. */
+  /** The words after the verb that are not of the form name=value. */
   words: string[];
+  /** The name=value words. */
   options: Map<string, string>;
 }
 
-/** Carries out one event and returns the lines that came of it. */
+/** Applies one event and returns the lines of its outcome. */
 export type TraceStep = (event: TraceEvent) => string[];
 
 const OUTCOME_INDENT = "    ";
@@ -42,7 +44,7 @@
   return `${output.join("\n")}\n`;
 }
 
-/** Makes a test of every trace in a folder below test/traces. */
+/** Defines one test for each trace in a folder of test/traces. */
 export function traceTests(folder: string, newScenario: () => TraceStep): void {
   const directory = resolve("test/traces", folder);
   const files = readdirSync(directory).filter((f) => f.endsWith(".trace"));
--- a/test/support/user-job.ts
+++ b/test/support/user-job.ts
@@ -1,14 +1,16 @@
-/** A job from its user's side. */
-/** A job as its user knows it. */
+/** The state of a job as its simulated user knows it. */
+
+/** One submitted job and what its user has been told of it. Instants are simulated time in milliseconds. */
 export class UserJob {
   accepted = false;
+  /** The HTTP status with which the submission was rejected for good; 0 if it was not. */
   rejectionStatus = 0;
   cancelRequested = false;
   cancelledAt: number | null = null;
   done = false;
-  /** When a question was last answered. */
+  /** When a request about the job last got a response. */
   lastResponseAt = -Infinity;
-  /** Since when a machine has had room for one of its tasks that waits. */
+  /** Since when a machine has had free capacity for one of its waiting tasks; null while none has. */
   startableSince: number | null = null;
   readonly completed = new Set<string>();
 
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -1,4 +1,4 @@
-/** Jobs that pass to another shard: who is chosen, on what terms, and what their own shard goes on counting. */
+/** Job migration between shards: choice of the job, its terms, and the quota reserved in the source shard. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { chooseJobMigration } from "../src/autoscaling/shard-balancing.js";
@@ -43,7 +43,7 @@
   memoryGb: 4,
 });
 
-test("the job that has waited longest of those that fit another shard's room passes on", () => {
+test("of the jobs that fit the free capacity of another shard, the one that has waited longest is migrated", () => {
   const source = summary(0, {
     migrationCandidates: [
       migrationCandidate("req-1", 3, 60_000),
@@ -58,7 +58,7 @@
   });
 });
 
-test("no job passes to its own shard, to another zone, or to a shard that has not heard its machines", () => {
+test("no job is migrated to its own shard, to another zone, or to a shard that is unknown or not recovered", () => {
   const source = summary(0, {
     migrationCandidates: [migrationCandidate("req-1", 1, 60_000)],
     freeCapacity: [freeCapacity(4)],
@@ -72,7 +72,7 @@
 });
 
 void describe("shards/quota-reservations", () => {
-  test("a reservation counts until the job's last task is surely gone", () => {
+  test("a reservation counts until the job's last task has surely ended", () => {
     const reservations = new QuotaReservations(TASK_EXPIRY_MS);
     reservations.reserve("req-1", { team: "tight", cpus: 4, gpus: 0 });
     reservations.reserve("req-2", { team: "tight", cpus: 2, gpus: 0 });
@@ -89,7 +89,7 @@
 const TOKEN = 3;
 const WAITED_MS = 60_000;
 
-/** The record of a job of a team with a limit of four processors, which may run in one zone only. */
+/** The record of a job that may run in one zone only, and whose team has a quota of four processors. */
 function waitingJobRecord(overrides: Partial<JobSpec>, fields: Partial<JobRecord> = {}): { spec: JobSpec } {
   const spec = jobSpec("req-1", { team: "capped", tasks: 6, zone: "south", ...overrides });
   const acceptedAt = Date.now() - WAITED_MS;
@@ -97,7 +97,7 @@
   return { spec, ...encodeJob(record) };
 }
 
-/** A shard without machines, and a job of six tasks that waits there. */
+/** A shard without machines, and its records, with one waiting job of six tasks. */
 function cappedShard(): { shard: Shard; view: FakeView } {
   const view = new FakeView();
   view.put(keys.job("req-1"), waitingJobRecord({}), 5);
@@ -109,30 +109,34 @@
     const { shard } = cappedShard();
     assert.equal(shard.summary(TOKEN, 0).migrationCandidates[0]?.job, "req-1");
     const prepared = shard.beginMigration("req-1", 0);
-    assert.ok(prepared !== null, "it may be migrated");
+    assert.ok(prepared !== null, "the job may be migrated");
     assert.equal(prepared.terms.maxParallelTasks, 4);
     assert.deepEqual(prepared.terms.reservation, { team: "capped", cpus: 4, gpus: 0 });
-    assert.equal(prepared.terms.migratedIn, true, "it goes to a shard of another team");
-    assert.equal(shard.beginMigration("req-1", 0), null, "not twice");
+    assert.equal(prepared.terms.migratedIn, true, "it is migrated to a shard of other teams");
+    assert.equal(
+      shard.beginMigration("req-1", 0),
+      null,
+      "a job that is being migrated is not migrated again",
+    );
     assert.deepEqual(shard.summary(TOKEN, 0).migrationCandidates, []);
     shard.migrationFailed(prepared.job);
     assert.equal(shard.summary(TOKEN, 0).migrationCandidates[0]?.job, "req-1", "it may be migrated later");
   });
 
-  test("a new owner goes on reserving for a migrated job, also where the job has ended meanwhile", () => {
+  test("a new owner keeps the reservation of a migrated job, even if the job has ended in the meantime", () => {
     const { view } = cappedShard();
     view.put(keys.quotaReservation(SHARD, "req-9"), { team: "capped", cpus: 3, gpus: 0 }, 6);
     const { cancelMs } = testSettings().workers;
     const shard = newShard({ shard: SHARD, termToken: 7, view });
     assert.equal(shard.beginMigration("req-1", 0), null, "the quota leaves less than the job could use");
     shard.expire(cancelMs);
-    assert.deepEqual(shard.taskProgress(4), [], "its tasks may still be running");
+    assert.deepEqual(shard.taskProgress(4), [], "tasks of the ended job may still be running");
     shard.expire(cancelMs + 1);
     assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
     assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(SHARD, "req-9") }]);
   });
 
-  test("the reservation of a done job ends at once, that of a cancelled job when its tasks have surely ended", () => {
+  test("the reservation of a done job is dropped at once, that of a cancelled job after its tasks have ended", () => {
     const { view, shard } = cappedShard();
     for (const [id, stage] of [
       ["req-8", "done"],
@@ -143,14 +147,14 @@
       shard.sync(view, [view.put(keys.endedJob(id), { stage, done: 1 }, 7)], 0);
     }
     assert.deepEqual(shard.taskProgress(4)[0]?.writes, [{ remove: keys.quotaReservation(SHARD, "req-8") }]);
-    assert.equal(shard.beginMigration("req-1", 0), null, "the cancelled one counts");
+    assert.equal(shard.beginMigration("req-1", 0), null, "the cancelled job's reservation still counts");
     shard.expire(testSettings().workers.cancelMs + 1);
     assert.equal(shard.beginMigration("req-1", 0)?.terms.maxParallelTasks, 4);
   });
 });
 
 void describe("shards/shard: migrated jobs", () => {
-  test("a shard drops a job whose record names another shard, which takes it on the terms of the record", () => {
+  test("a shard drops a job whose record names another shard, which runs it on the terms of the record", () => {
     const { shard, view } = cappedShard();
     const target = newShard({ shard: 0, termToken: 4, view });
     const spec = jobSpec("req-1", { team: "capped", tasks: 6 });
@@ -163,7 +167,7 @@
     assert.deepEqual(target.summary(4, 0).migrationCandidates, [], "a migrated job does not migrate again");
   });
 
-  test("a migrated job of a team without a limit does not migrate again either", () => {
+  test("a migrated job of a team without a quota does not migrate again either", () => {
     const view = new FakeView();
     for (const migratedIn of [false, true]) {
       view.put(keys.job("req-1"), waitingJobRecord({ team: "free" }, { migratedIn }), migratedIn ? 6 : 5);
@@ -172,7 +176,7 @@
     }
   });
 
-  test("migration candidates are found in one look at all jobs and machines, however many jobs wait", () => {
+  test("migration candidates are found in a fixed number of passes over the jobs, however many jobs wait", () => {
     const view = new FakeView();
     for (let i = 0; i < 200; i++) {
       const record = waitingJobRecord({ id: `req-${i}`, cpus: 0.5 + i / 1000 });
@@ -184,7 +188,7 @@
     const [first] = shard.jobs.values();
     const { active } = first!;
     Object.defineProperty(first, "active", { get: () => (activeReads++, active) });
-    assert.deepEqual(shard.summary(TOKEN, 0).migrationCandidates, [], "the team is at its limit");
-    assert.ok(activeReads < 20, `${activeReads} looks at one job`);
+    assert.deepEqual(shard.summary(TOKEN, 0).migrationCandidates, [], "the team has used up its quota");
+    assert.ok(activeReads < 20, `${activeReads} reads of one job's attempts`);
   });
 });
