--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -157,10 +157,10 @@
       settings: this.settings,
       timings: {
         roundBudgetMs,
-        preemptionSpacingMs,
-        quietTicks,
+        minPreemptionIntervalMs: preemptionSpacingMs,
+        maxTicksWithoutHeartbeat: quietTicks,
         maxViewAgeMs,
-        spacingMs: this.operator.passSpacingMs,
+        minIntervalMs: this.operator.passSpacingMs,
       },
       metrics: this.metrics,
       state: this.state,
--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -143,8 +143,8 @@
         membership.tell({ kind: "advance_token", shard });
       },
       sendSummary,
-      mayPlace: () => links.allows("start"),
-      mayRemoveMachines: () => links.allows("return"),
+      canPlaceTasks: () => links.allows("start"),
+      canRemoveMachines: () => links.allows("return"),
     };
   }
 
--- a/src/shards/attempt-numbers.ts
+++ b/src/shards/attempt-numbers.ts
@@ -5,21 +5,21 @@
 
 /** Gives out the attempt numbers of one owner. */
 export class AttemptNumbers {
-  private count = 0;
+  private usedCount = 0;
 
   /** A number that was never given before; `token` is the owner's current fencing token. */
   next(token: number): number {
-    this.count++;
-    return token * ATTEMPTS_PER_TOKEN + this.count;
+    this.usedCount++;
+    return token * ATTEMPTS_PER_TOKEN + this.usedCount;
   }
 
   /** Whether the numbers of the current token are nearly used up, so that the token should be advanced. */
-  get nearlyExhausted(): boolean {
-    return this.count >= ATTEMPTS_PER_TOKEN / 2;
+  get isNearlyExhausted(): boolean {
+    return this.usedCount >= ATTEMPTS_PER_TOKEN / 2;
   }
 
   /** The owner has a new token. */
   reset(): void {
-    this.count = 0;
+    this.usedCount = 0;
   }
 }
--- a/src/shards/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -13,7 +13,7 @@
   /** To be called once the writes are durable. */
   onDurable(): void;
   /** To be called if the job's record turned out to be gone: it was cancelled first. */
-  onJobGone(): void;
+  onJobRecordMissing(): void;
   /** The job whose record the conditions name; null where there are none. */
   job: string | null;
 }
@@ -26,7 +26,7 @@
   written: number[];
 }
 
-const chunkOf = (index: number): number => Math.floor(index / CHUNK_TASKS);
+const chunkIndexOf = (index: number): number => Math.floor(index / CHUNK_TASKS);
 
 const isFinished = (job: Job): boolean => job.done.count === job.spec.tasks;
 
@@ -43,7 +43,7 @@
     valueBytes: number,
     private readonly log: Logger,
     /** Drops a job whose record turned out to be gone. */
-    private readonly dropJob: (id: string) => void,
+    private readonly endJob: (id: string) => void,
   ) {
     this.progress = new ProgressPages(valueBytes);
   }
@@ -56,7 +56,7 @@
   }
 
   /** The job's record is gone: nothing more is written of it, and what was written is removed later. */
-  forget(job: Job): void {
+  removeJob(job: Job): void {
     const { id, tasks } = job.spec;
     this.unwritten.delete(job);
     this.progress.remove(id);
@@ -66,22 +66,22 @@
   }
 
   /** A record that is not needed any more is removed when a transaction has writes to spare. */
-  removeLater(key: string): void {
+  scheduleRemoval(key: string): void {
     this.staleKeys.add(key);
   }
 
   /** Applies what an earlier owner has written of a job: base64 bits of its completed tasks, on a page. */
-  load(page: number, id: string, bits: string): void {
+  loadPageEntry(page: number, id: string, bits: string): void {
     this.progress.load(page, { [id]: bits });
   }
 
   /** Jobs whose last task has completed and that may be written as done, with at most so many writes. */
-  finishedJobs(maxWrites: number, mayComplete: (job: Job) => boolean): Completion[] {
+  finishedJobs(maxWrites: number, canComplete: (job: Job) => boolean): Completion[] {
     const completions: Completion[] = [];
     let remainingWrites = maxWrites;
     for (const job of this.unwritten.keys()) {
-      if (!isFinished(job) || !mayComplete(job)) continue;
-      const completion = this.completeJob(job);
+      if (!isFinished(job) || !canComplete(job)) continue;
+      const completion = this.buildJobCompletion(job);
       if (completion.writes.length > remainingWrites) break;
       remainingWrites -= completion.writes.length;
       completions.push(completion);
@@ -101,15 +101,15 @@
         continue;
       }
       if (remainingWrites < 1) continue;
-      const completion = this.completeChunks(job, indexes, remainingWrites);
+      const completion = this.buildChunkCompletion(job, indexes, remainingWrites);
       remainingWrites -= completion.writes.length;
       completions.push(completion);
     }
     const writtenPages = [...pages].slice(0, remainingWrites);
-    for (const [page, entries] of writtenPages) completions.push(this.completePage(page, entries));
+    for (const [page, entries] of writtenPages) completions.push(this.buildPageCompletion(page, entries));
     remainingWrites -= writtenPages.length;
     const stale = [...this.staleKeys].slice(0, remainingWrites);
-    if (stale.length > 0) completions.push(this.removeStale(stale));
+    if (stale.length > 0) completions.push(this.buildStaleKeyRemoval(stale));
     return completions;
   }
 
@@ -121,7 +121,7 @@
     else pages.set(page, [entry]);
   }
 
-  private completePage(page: number, entries: PageEntry[]): Completion {
+  private buildPageCompletion(page: number, entries: PageEntry[]): Completion {
     return {
       job: null,
       conditions: [],
@@ -129,11 +129,11 @@
       onDurable: () => {
         for (const { job, indexes, written } of entries) this.markDurable(job, indexes, written);
       },
-      onJobGone: () => undefined,
+      onJobRecordMissing: () => undefined,
     };
   }
 
-  private removeStale(stale: string[]): Completion {
+  private buildStaleKeyRemoval(stale: string[]): Completion {
     return {
       job: null,
       conditions: [],
@@ -141,7 +141,7 @@
       onDurable: () => {
         for (const key of stale) this.staleKeys.delete(key);
       },
-      onJobGone: () => undefined,
+      onJobRecordMissing: () => undefined,
     };
   }
 
@@ -153,7 +153,7 @@
     if (indexes.size === 0 && this.unwritten.get(job) === indexes) this.unwritten.delete(job);
   }
 
-  private completeJob(job: Job): Completion {
+  private buildJobCompletion(job: Job): Completion {
     const { id, tasks } = job.spec;
     return {
       job: id,
@@ -165,17 +165,17 @@
         this.progress.remove(id);
         this.log.info({ job: id }, "job done");
       },
-      onJobGone: () => {
-        this.discard(job);
+      onJobRecordMissing: () => {
+        this.discardJob(job);
       },
     };
   }
 
-  private completeChunks(job: Job, indexes: Set<number>, maxWrites: number): Completion {
+  private buildChunkCompletion(job: Job, indexes: Set<number>, maxWrites: number): Completion {
     const { id } = job.spec;
-    const changedChunks = new Set([...indexes].map(chunkOf));
+    const changedChunks = new Set([...indexes].map(chunkIndexOf));
     const chunks = [...changedChunks].slice(0, Math.max(1, maxWrites));
-    const written = [...indexes].filter((index) => chunks.includes(chunkOf(index)));
+    const written = [...indexes].filter((index) => chunks.includes(chunkIndexOf(index)));
     return {
       job: id,
       conditions: [{ key: keys.job(id), version: job.version }],
@@ -186,15 +186,15 @@
       onDurable: () => {
         this.markDurable(job, indexes, written);
       },
-      onJobGone: () => {
-        this.discard(job);
+      onJobRecordMissing: () => {
+        this.discardJob(job);
       },
     };
   }
 
   /** What was to be written of a job whose record is gone is never retried, or other jobs' writes would fail with it. */
-  private discard(job: Job): void {
+  private discardJob(job: Job): void {
     this.unwritten.delete(job);
-    this.dropJob(job.spec.id);
+    this.endJob(job.spec.id);
   }
 }
--- a/src/shards/completion-writer.ts
+++ b/src/shards/completion-writer.ts
@@ -15,9 +15,9 @@
   readonly state: StateStoreClient;
   readonly clock: SteadyClock;
   /** The least time between two writes, in milliseconds. */
-  readonly spacingMs: number;
+  readonly minWriteIntervalMs: number;
   /** The least time between two writes of the progress of jobs that go on, in milliseconds. */
-  readonly progressSpacingMs: number;
+  readonly minProgressIntervalMs: number;
   /** Called when a write has ended, well or not; the owner then calls `writeEnded` in its turn. */
   readonly onWriteEnded: () => void;
   readonly log: Logger;
@@ -36,16 +36,16 @@
 
   /** Starts a write if one is due and none is under way. */
   write(): void {
-    const { shard, term, state, clock, spacingMs, progressSpacingMs } = this.dependencies;
+    const { shard, term, state, clock, minWriteIntervalMs, minProgressIntervalMs } = this.dependencies;
     const token = term.currentToken();
     const now = clock();
-    if (this.writePending || token === null || now - this.lastWriteAt < spacingMs) return;
+    if (this.writePending || token === null || now - this.lastWriteAt < minWriteIntervalMs) return;
     const finished = shard.finishedJobs(state.txnOps);
     if (finished.length > 0) {
       this.startWrite(token, finished, "result", now);
       return;
     }
-    if (now - this.lastProgressAt < progressSpacingMs) return;
+    if (now - this.lastProgressAt < minProgressIntervalMs) return;
     const progress = shard.taskProgress(state.txnOps);
     if (progress.length === 0) return;
     this.lastProgressAt = now;
@@ -75,7 +75,7 @@
       );
       if (result.ok) for (const completion of completions) completion.onDurable();
       else if (!result.failedKeys.includes(shardKey))
-        await this.resolveFailed(completions, result.failedKeys);
+        await this.resolveFailedConditions(completions, result.failedKeys);
     } catch (err) {
       log.debug({ err }, "completions not written");
     }
@@ -83,7 +83,7 @@
   }
 
   /** Guards against a completion racing with a cancellation: whoever changed the job's record first has won. */
-  private async resolveFailed(completions: Completion[], failedKeys: string[]): Promise<void> {
+  private async resolveFailedConditions(completions: Completion[], failedKeys: string[]): Promise<void> {
     for (const completion of completions)
       if (completion.conditions.some(({ key }) => failedKeys.includes(key)))
         await this.resolveCompletion(completion);
@@ -93,6 +93,6 @@
   private async resolveCompletion(completion: Completion): Promise<void> {
     const { job } = completion;
     if (job === null) return;
-    if ((await this.dependencies.state.read(keys.job(job))) === null) completion.onJobGone();
+    if ((await this.dependencies.state.read(keys.job(job))) === null) completion.onJobRecordMissing();
   }
 }
--- a/src/shards/decision-metrics.ts
+++ b/src/shards/decision-metrics.ts
@@ -47,32 +47,32 @@
 
 /** The decisions of one process. */
 export class DecisionMetrics {
-  private answeredCount = 0;
+  private renewalCount = 0;
   private violationCount = 0;
-  private readonly refusedCounts = new Map<RenewalRefusal, number>();
+  private readonly refusalCounts = new Map<RenewalRefusal, number>();
   private readonly recordsAge = new DurationHistogram();
   private readonly endToStop = new DurationHistogram();
   private readonly endToGone = new DurationHistogram();
 
   /** A lease renewal was sent, decided on records of this age. */
-  answered(recordsAgeMs: number): void {
-    this.answeredCount++;
+  recordRenewal(recordsAgeMs: number): void {
+    this.renewalCount++;
     this.recordsAge.record(recordsAgeMs);
   }
 
   /** A lease renewal was refused. */
-  refused(reason: RenewalRefusal): void {
-    this.refusedCounts.set(reason, (this.refusedCounts.get(reason) ?? 0) + 1);
+  recordRefusal(reason: RenewalRefusal): void {
+    this.refusalCounts.set(reason, (this.refusalCounts.get(reason) ?? 0) + 1);
     if (VIOLATIONS.has(reason)) this.violationCount++;
   }
 
   /** The first stop of an ended job's tasks was sent so long after the job's end. */
-  stopSent(afterMs: number): void {
+  recordStopSent(afterMs: number): void {
     this.endToStop.record(afterMs);
   }
 
   /** The last task of an ended job was proven gone so long after the job's end. */
-  tasksGone(afterMs: number): void {
+  recordTasksGone(afterMs: number): void {
     this.endToGone.record(afterMs);
   }
 
@@ -80,8 +80,8 @@
   report(node: string): DecisionReport {
     return {
       node,
-      answered: this.answeredCount,
-      refused: Object.fromEntries(this.refusedCounts),
+      answered: this.renewalCount,
+      refused: Object.fromEntries(this.refusalCounts),
       violations: this.violationCount,
       recordsAgeMs: this.recordsAge.distribution,
       endToStopMs: this.endToStop.distribution,
--- a/src/shards/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -7,7 +7,7 @@
 interface EndedJob {
   job: Job;
   /** When its end can have been confirmed at the earliest: steady time in milliseconds. */
-  since: number;
+  earliestEndAt: number;
   stopSent: boolean;
 }
 
@@ -21,9 +21,9 @@
     private readonly log: Logger,
   ) {}
 
-  /** A job with tasks on machines has ended, at the earliest at `since`: steady time in milliseconds. */
-  add(job: Job, since: number): void {
-    this.pending.set(job.spec.id, { job, since, stopSent: false });
+  /** A job with tasks on machines has ended, at the earliest at `earliestEndAt`: steady time in milliseconds. */
+  add(job: Job, earliestEndAt: number): void {
+    this.pending.set(job.spec.id, { job, earliestEndAt, stopSent: false });
     this.log.info(
       { shard: this.shard, job: job.spec.id, tasks: job.active.size },
       "ended job has tasks on machines",
@@ -37,17 +37,17 @@
       const ended = op === "stop" ? this.pending.get(job) : undefined;
       if (ended === undefined || ended.stopSent) continue;
       ended.stopSent = true;
-      this.metrics.stopSent(now - ended.since);
+      this.metrics.recordStopSent(now - ended.earliestEndAt);
     }
   }
 
   /** Removes the jobs that have no task on a machine any more. */
-  removeGone(now: number): void {
-    for (const [id, { job, since }] of this.pending) {
+  removeWithoutTasks(now: number): void {
+    for (const [id, { job, earliestEndAt }] of this.pending) {
       if (job.active.size > 0) continue;
       this.pending.delete(id);
-      const tookMs = Math.round(now - since);
-      this.metrics.tasksGone(tookMs);
+      const tookMs = Math.round(now - earliestEndAt);
+      this.metrics.recordTasksGone(tookMs);
       this.log.info({ shard: this.shard, job: id, tookMs }, "ended job has no tasks left");
     }
   }
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -5,17 +5,17 @@
 import type { Machine } from "../workers/machine.js";
 
 /** A job that fails on so many machines is faulty itself. */
-const FAULTY_JOB_MACHINES = 3;
+const MIN_MACHINES_FOR_FAULTY_JOB = 3;
 
 /** The longest back-off of a faulty job, as a part of the time that nobody waits beside free capacity. */
-const MAX_BACK_OFF_FRACTION = 2 / 3;
-const MAX_BACK_OFF_MS = MAX_BACK_OFF_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
+const MAX_BACKOFF_FRACTION = 2 / 3;
+const MAX_BACKOFF_MS = MAX_BACKOFF_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
 
 /** So many leases after a failure the job may be retried on that machine. */
-const FAILURE_MEMORY_LEASES = 2;
+const FAILURE_RETENTION_LEASES = 2;
 
 /** A machine on which so many jobs fail, with no success between, is faulty itself. */
-const FAULTY_MACHINE_JOBS = 2;
+const MIN_JOBS_FOR_FAULTY_MACHINE = 2;
 
 /** Counts failures per job and machine, quarantines machines and retries faulty jobs with exponential back-off. */
 export class FailureTracker {
@@ -26,20 +26,20 @@
   ) {}
 
   /** A task succeeded: neither its job nor its machine is faulty. */
-  succeeded(job: Job, machine: Machine): void {
+  recordSuccess(job: Job, machine: Machine): void {
     machine.failedJobs.clear();
     job.backOffCount = 0;
     job.suspectedFaulty = false;
   }
 
   /** A task of the job failed on the machine; `now` is steady time in milliseconds. */
-  failed(job: Job, machine: Machine, now: number): void {
+  recordFailure(job: Job, machine: Machine, now: number): void {
     // Tasks that were running when the job was found faulty prove nothing new about it or its machines.
     if (job.notBefore > now) return;
     job.failedOn.set(machine.host, now);
     machine.failedJobs.add(job.spec.id);
-    if (job.suspectedFaulty || job.failedOn.size >= FAULTY_JOB_MACHINES) this.backOff(job, now);
-    else if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS && !machine.quarantined) {
+    if (job.suspectedFaulty || job.failedOn.size >= MIN_MACHINES_FOR_FAULTY_JOB) this.backOff(job, now);
+    else if (machine.failedJobs.size >= MIN_JOBS_FOR_FAULTY_MACHINE && !machine.quarantined) {
       machine.quarantined = true;
       this.log.info({ host: machine.host, jobs: [...machine.failedJobs] }, "machine quarantined");
     }
@@ -53,7 +53,7 @@
     for (const host of job.failedOn.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
     job.failedOn.clear();
     job.suspectedFaulty = true;
-    job.notBefore = now + Math.min(2 ** job.backOffCount * this.leaseMs, MAX_BACK_OFF_MS);
+    job.notBefore = now + Math.min(2 ** job.backOffCount * this.leaseMs, MAX_BACKOFF_MS);
     job.backOffCount++;
     this.log.info(
       { job: job.spec.id, failures: job.backOffCount },
@@ -65,6 +65,6 @@
   expireFailures(jobs: Iterable<Job>, now: number): void {
     for (const { failedOn } of jobs)
       for (const [host, failedAt] of failedOn)
-        if (now - failedAt > FAILURE_MEMORY_LEASES * this.leaseMs) failedOn.delete(host);
+        if (now - failedAt > FAILURE_RETENTION_LEASES * this.leaseMs) failedOn.delete(host);
   }
 }
--- a/src/shards/heartbeat-handler.ts
+++ b/src/shards/heartbeat-handler.ts
@@ -41,7 +41,7 @@
   }
 
   /** This owner has advanced the shard's token itself: workers that show the new one follow this owner as well. */
-  tokenAdvanced(token: number): void {
+  addTermToken(token: number): void {
     this.termTokens.add(token);
   }
 
@@ -61,21 +61,21 @@
       leaseMs: this.dependencies.leaseMs,
       isTokenOfTerm: (token) => this.termTokens.has(token),
       onTaskExited: (job, index, taskMachine, cause) => {
-        this.taskExited(job, index, taskMachine, cause, now);
+        this.handleTaskExit(job, index, taskMachine, cause, now);
       },
       onAttemptFinished: (placement) => {
-        speeds.finished(placement, now);
+        speeds.recordFinished(placement, now);
       },
     });
     if (machine.up && !wasUp) log.info({ host: machine.host, shard }, "machine registered with owner");
     if (machine.followsTerm) machine.unreconciled = false;
     recordResponse(machine, now);
     jobs.endedJobs.recordStops(commands, now);
-    jobs.removeGone(now);
+    jobs.removeEndedWithoutTasks(now);
     return commands;
   }
 
-  private taskExited(
+  private handleTaskExit(
     job: Job,
     index: number,
     machine: Machine,
@@ -86,13 +86,13 @@
     const retryAt = now + REFUSED_START_PAUSE_HEARTBEATS * heartbeatIntervalMs;
     switch (cause) {
       case "done":
-        failures.succeeded(job, machine);
+        failures.recordSuccess(job, machine);
         // Guards against writing the end of a job that was cancelled while its last task ended: its record is gone, and
         // the transaction would fail again and again, with those of all the jobs that are written together with it.
         if (!job.terminating) jobs.completions.add(job, index);
         return;
       case "error":
-        failures.failed(job, machine, now);
+        failures.recordFailure(job, machine, now);
         return;
       case "no_room":
         // The worker counts something that is not known here yet; its next heartbeats will show it.
--- a/src/shards/heartbeat-responder.ts
+++ b/src/shards/heartbeat-responder.ts
@@ -32,7 +32,7 @@
   respond(heartbeat: Heartbeat): HeartbeatResponse {
     const { shard, term, callbacks, renewalGuard, clock } = this.dependencies;
     const now = clock();
-    const permission = renewalGuard.permission(
+    const permission = renewalGuard.checkPermission(
       callbacks.authority(),
       heartbeat.highestToken,
       now - shard.viewCompleteAsOf,
@@ -42,25 +42,25 @@
       if (permission.reason === "newer_token") callbacks.advanceToken();
       return REFUSED;
     }
-    term.follow(permission.token);
+    term.updateToken(permission.token);
     const commands = shard.reconcileHeartbeat(heartbeat, now);
     if (commands === null) {
-      renewalGuard.heartbeatIgnored();
+      renewalGuard.recordIgnoredHeartbeat();
       return REFUSED;
     }
     this.dependencies.machineRecorder.record();
-    this.place(heartbeat.host, permission.token, now, commands);
+    this.addStartsAtHeartbeat(heartbeat.host, permission.token, now, commands);
     this.dependencies.completionWriter.write();
-    const renewal = renewalGuard.decide(permission, heartbeat, limitCommands(commands), (job) =>
+    const renewal = renewalGuard.decideRenewal(permission, heartbeat, limitCommands(commands), (job) =>
       shard.isLiveJob(job),
     );
     return renewal === null ? REFUSED : { kind: "commands", renewal };
   }
 
   /** Adds the starts of tasks that are placed on the machine now to the commands. */
-  private place(host: string, token: number, now: number, commands: WorkerCommand[]): void {
+  private addStartsAtHeartbeat(host: string, token: number, now: number, commands: WorkerCommand[]): void {
     const { shard, callbacks, rounds } = this.dependencies;
-    if (!callbacks.mayPlace() || !rounds.placeAtHeartbeat(host, token, now)) return;
+    if (!callbacks.canPlaceTasks() || !rounds.placeAtHeartbeat(host, token, now)) return;
     const starts = commands.filter(({ op }) => op === "start");
     const startedAttempts = new Set(starts.map(({ attempt }) => attempt));
     for (const start of shard.startCommands(host))
--- a/src/shards/job-migrator.ts
+++ b/src/shards/job-migrator.ts
@@ -84,7 +84,7 @@
     const { shard, term, retryMs, log } = this.dependencies;
     let outcome = await this.tryCommit(job, transaction);
     while (!term.hasEnded()) {
-      if (outcome === "rejected") shard.migrationFailed(job);
+      if (outcome === "rejected") shard.cancelMigration(job);
       if (outcome === "record_changed")
         log.info({ job: job.spec.id, shard: shard.id, to: targetShard }, "job migrated");
       if (outcome !== "unknown") return;
--- a/src/shards/job-table.ts
+++ b/src/shards/job-table.ts
@@ -34,7 +34,7 @@
   /** Steady time in milliseconds up to which the records applied so far are known to be complete. */
   completeAsOf = -Infinity;
   /** Jobs whose cancellation was confirmed by another controller. */
-  private readonly cancellations = new LRUCache<string, true>({ max: REMEMBERED_CANCELLATIONS });
+  private readonly confirmedCancellations = new LRUCache<string, true>({ max: REMEMBERED_CANCELLATIONS });
   private readonly shard: number;
   private readonly log: Logger;
 
@@ -43,7 +43,7 @@
     this.log = log;
     this.endedJobs = new EndedJobs(shard, metrics, log);
     this.completions = new CompletionLog(shard, valueBytes, log, (id) => {
-      this.end(id, Infinity);
+      this.endJob(id, Infinity);
     });
   }
 
@@ -51,11 +51,11 @@
   applyJob(change: RecordChange, now: number): void {
     const id = change.key.slice(prefixes.jobs.length);
     if (change.value === undefined) {
-      this.end(id, now);
+      this.endJob(id, now);
       return;
     }
     // Guards against starting a cancelled job again from records read before the cancellation.
-    if (this.byId.get(id)?.version === change.version || this.cancellations.has(id)) return;
+    if (this.byId.get(id)?.version === change.version || this.confirmedCancellations.has(id)) return;
     const record = readJob(change.value);
     if (record === null) {
       this.log.error({ key: change.key }, "unreadable job record");
@@ -63,7 +63,7 @@
     }
     // It may have been migrated to another shard.
     if (record.shard !== this.shard) {
-      this.end(id, now);
+      this.endJob(id, now);
       return;
     }
     if (this.byId.has(id)) return;
@@ -84,7 +84,7 @@
     for (const [id, bits] of Object.entries(jobs)) {
       const job = this.byId.get(id);
       if (job === undefined) continue;
-      if (job.durable.count === 0) this.completions.load(page, id, bits);
+      if (job.durable.count === 0) this.completions.loadPageEntry(page, id, bits);
       job.mergeDone(0, bits);
     }
   }
@@ -95,35 +95,35 @@
     if (bits === null) return;
     if (job) job.mergeDone(chunk, bits);
     // One shard removes what is left of ended jobs, so that the shards do not all try it.
-    else if (this.shard === 0 && !view.get(keys.job(id))) this.completions.removeLater(change.key);
+    else if (this.shard === 0 && !view.get(keys.job(id))) this.completions.scheduleRemoval(change.key);
   }
 
   /** Ends the jobs that a complete reading of the records does not contain. */
   endMissing(view: ReplicaView, now: number): void {
-    for (const id of this.byId.keys()) if (!view.get(keys.job(id))) this.end(id, now);
+    for (const id of this.byId.keys()) if (!view.get(keys.job(id))) this.endJob(id, now);
   }
 
   /** A cancellation is durable, whether or not the watch has shown it yet. */
-  cancelled(id: string, now: number): void {
-    this.cancellations.set(id, true);
-    this.end(id, now);
-    this.removeGone(now);
+  cancelJob(id: string, now: number): void {
+    this.confirmedCancellations.set(id, true);
+    this.endJob(id, now);
+    this.removeEndedWithoutTasks(now);
   }
 
   /** The record is gone: done, cancelled or migrated. Tasks still on machines are stopped and count until proven gone. */
-  private end(id: string, now: number): void {
+  private endJob(id: string, now: number): void {
     const job = this.byId.get(id);
     if (job === undefined) return;
     // The view before this one lacked its end, which is therefore no older than that view.
     if (!job.terminating && job.active.size > 0) this.endedJobs.add(job, Math.min(now, this.completeAsOf));
     job.terminating = true;
-    this.completions.forget(job);
+    this.completions.removeJob(job);
     if (job.active.size === 0) this.byId.delete(id);
   }
 
   /** Removes the ended jobs that have no task on a machine any more. */
-  removeGone(now: number): void {
-    this.endedJobs.removeGone(now);
+  removeEndedWithoutTasks(now: number): void {
+    this.endedJobs.removeWithoutTasks(now);
     for (const [id, job] of this.byId) if (job.terminating && job.active.size === 0) this.byId.delete(id);
   }
 }
--- a/src/shards/lease-expiry.ts
+++ b/src/shards/lease-expiry.ts
@@ -26,7 +26,7 @@
     const { machines, leaseMs } = this.dependencies;
     this.expectedHeartbeatSources = 0;
     for (const machine of machines.values()) {
-      const renewedAt = this.lastPossibleRenewal(machine);
+      const renewedAt = this.latestPossibleRenewalAt(machine);
       if (renewedAt === null || machine.leaseExpiredAt !== null) continue;
       if (now - renewedAt <= leaseMs) this.expectedHeartbeatSources++;
       else this.expireLease(machine, now);
@@ -34,7 +34,7 @@
   }
 
   /** Before the first heartbeat in this term, an earlier owner may have renewed the lease until the term began. */
-  private lastPossibleRenewal(machine: Machine): number | null {
+  private latestPossibleRenewalAt(machine: Machine): number | null {
     if (machine.lastHeartbeatAt !== null) return machine.lastHeartbeatAt;
     return machine.unreconciled ? this.dependencies.termStartedAt : machine.firstHeartbeatAt;
   }
--- a/src/shards/machine-recorder.ts
+++ b/src/shards/machine-recorder.ts
@@ -15,7 +15,7 @@
   readonly state: StateStoreClient;
   readonly clock: SteadyClock;
   /** The least time between two writes, in milliseconds. */
-  readonly spacingMs: number;
+  readonly minWriteIntervalMs: number;
   /** Called when a write has ended, well or not; the owner then calls `writeEnded` in its turn. */
   readonly onWriteEnded: () => void;
   readonly log: Logger;
@@ -30,10 +30,10 @@
 
   /** Starts a write if machines have reported that are not recorded as such, and none is under way. */
   record(): void {
-    const { shard, term, fleet, state, clock, spacingMs } = this.dependencies;
+    const { shard, term, fleet, state, clock, minWriteIntervalMs } = this.dependencies;
     const token = term.currentToken();
     const now = clock();
-    if (this.writePending || token === null || now - this.lastAttemptAt < spacingMs) return;
+    if (this.writePending || token === null || now - this.lastAttemptAt < minWriteIntervalMs) return;
     this.lastAttemptAt = now;
     const hosts = shard.unrecordedHosts();
     if (hosts.length === 0) return;
--- a/src/shards/owner-term.ts
+++ b/src/shards/owner-term.ts
@@ -23,7 +23,7 @@
   currentToken(): number | null {
     const authority = this.callbacks.authority();
     if (!authority.held) return null;
-    this.follow(authority.token);
+    this.updateToken(authority.token);
     return authority.token;
   }
 
@@ -37,10 +37,10 @@
   }
 
   /** Tells the shard if the token has been advanced within the term. */
-  follow(token: number): void {
+  updateToken(token: number): void {
     if (token === this.lastToken) return;
     this.lastToken = token;
-    this.shard.tokenAdvanced(token);
+    this.shard.addTermToken(token);
     this.shard.resetAttempts();
   }
 }
--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -109,7 +109,7 @@
       teams: settings.teams,
       objectives: settings.objectives,
       wallNow: Date.now(),
-      runtimeRatio: (className: string) => speeds.ratio(className),
+      runtimeRatio: (className: string) => speeds.runtimeRatio(className),
       now,
       recovered: machines.isReconciled,
       termToken,
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -18,7 +18,7 @@
   /** The age of a shard's view from which on no lease may be renewed on it. */
   maxViewAgeMs: number;
   /** The least time between two log lines about refusals. */
-  spacingMs: number;
+  minIntervalMs: number;
 }
 
 /** Reasons that concern one machine or one heartbeat: they are counted, and not logged one by one. */
@@ -27,8 +27,8 @@
 /** All lease renewals of one shard's owner pass through its guard. */
 export class RenewalGuard {
   /** The reason of the last refusal that concerned the whole shard; null while it renews leases. */
-  private shardRefusal: RenewalRefusal | null = null;
-  private lastViolationAt = -Infinity;
+  private lastShardRefusal: RenewalRefusal | null = null;
+  private lastViolationLogAt = -Infinity;
 
   constructor(
     private readonly shard: number,
@@ -39,7 +39,7 @@
   ) {}
 
   /** Whether a heartbeat may be answered with a renewal at all; `viewAgeMs` is the age of the shard's own view. */
-  permission(authority: ShardAuthority, workerToken: number, viewAgeMs: number): RenewalPermission {
+  checkPermission(authority: ShardAuthority, workerToken: number, viewAgeMs: number): RenewalPermission {
     const { maxViewAgeMs } = this.timings;
     const permission = decideRenewalPermission({
       authority,
@@ -47,19 +47,19 @@
       shardViewAgeMs: viewAgeMs,
       maxViewAgeMs,
     });
-    if (!permission.allowed) this.metrics.refused(permission.reason);
+    if (!permission.allowed) this.metrics.recordRefusal(permission.reason);
     if (permission.allowed || !ROUTINE_REFUSALS.has(permission.reason))
-      this.logChange(permission.allowed ? null : permission.reason, authority, viewAgeMs);
+      this.logRefusalChange(permission.allowed ? null : permission.reason, authority, viewAgeMs);
     return permission;
   }
 
   /** The heartbeat was not newer than the last one, or not of a machine of this shard. */
-  heartbeatIgnored(): void {
-    this.metrics.refused("report_not_newer");
+  recordIgnoredHeartbeat(): void {
+    this.metrics.recordRefusal("report_not_newer");
   }
 
   /** The renewal that may be sent; null if it would break a rule. */
-  decide(
+  decideRenewal(
     permission: Extract<RenewalPermission, { allowed: true }>,
     heartbeat: Heartbeat,
     commands: readonly WorkerCommand[],
@@ -67,18 +67,22 @@
   ): LeaseRenewal | null {
     const renewal = LeaseRenewal.decide(permission.token, heartbeat, commands, isLive);
     if (renewal instanceof LeaseRenewal) {
-      this.metrics.answered(permission.shardViewAgeMs);
+      this.metrics.recordRenewal(permission.shardViewAgeMs);
       return renewal;
     }
-    this.metrics.refused(renewal.reason);
+    this.metrics.recordRefusal(renewal.reason);
     this.logViolation(renewal, heartbeat, permission);
     return null;
   }
 
   /** One line when the shard stops renewing leases and one when it goes on, with the evidence. */
-  private logChange(reason: RenewalRefusal | null, authority: ShardAuthority, viewAgeMs: number): void {
-    if (reason === this.shardRefusal) return;
-    this.shardRefusal = reason;
+  private logRefusalChange(
+    reason: RenewalRefusal | null,
+    authority: ShardAuthority,
+    viewAgeMs: number,
+  ): void {
+    if (reason === this.lastShardRefusal) return;
+    this.lastShardRefusal = reason;
     const evidence = {
       shard: this.shard,
       token: authority.held ? authority.token : null,
@@ -91,11 +95,11 @@
     else this.log.info({ ...evidence, reason }, "heartbeats refused");
   }
 
-  /** At most one line in `spacingMs`: a fault may concern every machine of a large shard. The metrics count them all. */
+  /** At most one line in `minIntervalMs`: a fault may concern every machine of a large shard. The metrics count them all. */
   private logViolation(rejected: RejectedRenewal, heartbeat: Heartbeat, permission: RenewalPermission): void {
     const now = this.clock();
-    if (now - this.lastViolationAt < this.timings.spacingMs) return;
-    this.lastViolationAt = now;
+    if (now - this.lastViolationLogAt < this.timings.minIntervalMs) return;
+    this.lastViolationLogAt = now;
     const { host, epoch: session, sequence: seq, highestToken: workerToken } = heartbeat;
     const evidence = { shard: this.shard, host, session, seq, workerToken, ...permission };
     this.log.error({ ...evidence, ...rejected }, "lease renewal rejected");
--- a/src/shards/round-throttle.ts
+++ b/src/shards/round-throttle.ts
@@ -9,7 +9,7 @@
 /** What the throttle of one shard's rounds is made from. */
 export interface RoundThrottleDependencies {
   readonly shard: Shard;
-  readonly timings: Pick<ShardOwnerTimings, "roundBudgetMs" | "preemptionSpacingMs">;
+  readonly timings: Pick<ShardOwnerTimings, "roundBudgetMs" | "minPreemptionIntervalMs">;
   readonly clock: SteadyClock;
 }
 
@@ -47,7 +47,7 @@
 
   /** Looks for tasks to preempt, once the last ones that were chosen could have been seen stopped. */
   preempt(now: number): void {
-    if (now - this.lastPreemptAt < this.timings.preemptionSpacingMs) return;
+    if (now - this.lastPreemptAt < this.timings.minPreemptionIntervalMs) return;
     this.lastPreemptAt = now;
     this.shard.preempt(now, this.clock, this.clock() + this.timings.roundBudgetMs);
   }
--- a/src/shards/shard-owner-messages.ts
+++ b/src/shards/shard-owner-messages.ts
@@ -43,9 +43,9 @@
   /** Sends a summary to the leader. */
   sendSummary(summary: ShardSummary): void;
   /** Whether tasks may be started and stopped now, as far as links go. */
-  mayPlace(): boolean;
+  canPlaceTasks(): boolean;
   /** Whether machines may be selected for removal now, as far as links go. */
-  mayRemoveMachines(): boolean;
+  canRemoveMachines(): boolean;
 }
 
 /** The durations that a shard owner goes by. */
@@ -53,9 +53,9 @@
   /** How long a placement round may take. */
   roundBudgetMs: number;
   /** The least time between two summaries, and between two writes of completions. */
-  spacingMs: number;
+  minIntervalMs: number;
   /** The least time between two searches for tasks to preempt. */
-  preemptionSpacingMs: number;
+  minPreemptionIntervalMs: number;
   /** After so many ticks without a heartbeat the shard's workers do not reach this node. */
-  quietTicks: number;
+  maxTicksWithoutHeartbeat: number;
 }
--- a/src/shards/shard-owner.ts
+++ b/src/shards/shard-owner.ts
@@ -18,7 +18,7 @@
 import type { ShardOwnerCallbacks, ShardOwnerMessage, ShardOwnerTimings } from "./shard-owner-messages.js";
 
 /** Machine records and finished jobs are written so many times as often as progress and summaries. */
-const PROMPT_WRITE_FACTOR = 4;
+const FREQUENT_WRITE_FACTOR = 4;
 
 /** What a shard owner is made from. */
 export interface ShardOwnerDependencies {
@@ -62,24 +62,24 @@
     this.view = view;
     this.clock = clock;
     this.callbacks = callbacks;
-    const { spacingMs } = timings;
+    const { minIntervalMs } = timings;
     const term = new ShardTerm(shard, callbacks);
     const common = { shard, term, state, fleet, view, clock, callbacks, log };
     this.term = term;
     this.rounds = new RoundThrottle({ ...common, timings });
     this.machineRecorder = new MachineRecorder({
       ...common,
-      spacingMs: spacingMs / PROMPT_WRITE_FACTOR,
+      minWriteIntervalMs: minIntervalMs / FREQUENT_WRITE_FACTOR,
       onWriteEnded: () => void this.tell({ kind: "machines_recorded" }),
     });
     this.completionWriter = new CompletionWriter({
       ...common,
-      spacingMs: spacingMs / PROMPT_WRITE_FACTOR,
-      progressSpacingMs: spacingMs,
+      minWriteIntervalMs: minIntervalMs / FREQUENT_WRITE_FACTOR,
+      minProgressIntervalMs: minIntervalMs,
       onWriteEnded: () => void this.tell({ kind: "completions_written" }),
     });
-    this.removal = new MachineRemoval({ ...common, retryMs: spacingMs });
-    this.migrator = new JobMigrator({ ...common, retryMs: spacingMs });
+    this.removal = new MachineRemoval({ ...common, retryMs: minIntervalMs });
+    this.migrator = new JobMigrator({ ...common, retryMs: minIntervalMs });
     const { rounds, machineRecorder, completionWriter } = this;
     this.responder = new HeartbeatResponder({
       ...common,
@@ -97,7 +97,7 @@
 
   /** Whether no worker has reported here for longer than any of them waits between two heartbeats. */
   get isCutOffFromWorkers(): boolean {
-    return this.ticksSinceHeartbeat > this.timings.quietTicks;
+    return this.ticksSinceHeartbeat > this.timings.maxTicksWithoutHeartbeat;
   }
 
   /** How many machines are expected to report here. */
@@ -130,7 +130,7 @@
         this.drainMachines(message.hosts, message.reply);
         return;
       case "job_cancelled":
-        this.shard.cancelled(message.job, this.clock());
+        this.shard.cancelJob(message.job, this.clock());
         return;
       case "migrate_job":
         void this.migrator.migrate(message.job, message.targetShard);
@@ -147,7 +147,7 @@
   }
 
   private drainMachines(hosts: string[], reply: (hosts: string[]) => void): void {
-    if (!this.callbacks.mayRemoveMachines()) reply([]);
+    if (!this.callbacks.canRemoveMachines()) reply([]);
     else void this.removal.remove({ reason: "drain", hosts }, reply);
   }
 
@@ -157,10 +157,10 @@
     this.ticksSinceHeartbeat++;
     this.shard.expire(now);
     if (token === null) return;
-    if (this.shard.attemptsExhausted) this.callbacks.advanceToken();
+    if (this.shard.areAttemptsNearlyExhausted) this.callbacks.advanceToken();
     this.machineRecorder.record();
     this.shard.drainInterrupted();
-    if (this.callbacks.mayPlace()) {
+    if (this.callbacks.canPlaceTasks()) {
       this.rounds.place(token);
       this.rounds.preempt(now);
     }
@@ -169,7 +169,7 @@
   }
 
   private sendSummary(token: number, now: number): void {
-    if (now - this.lastSummaryAt < this.timings.spacingMs) return;
+    if (now - this.lastSummaryAt < this.timings.minIntervalMs) return;
     this.lastSummaryAt = now;
     const summary = this.shard.summary(token, now);
     if (this.log.isLevelEnabled("debug")) {
@@ -179,6 +179,6 @@
         "shard load",
       );
     }
-    this.callbacks.sendSummary(this.callbacks.mayPlace() ? summary : withoutDemand(summary));
+    this.callbacks.sendSummary(this.callbacks.canPlaceTasks() ? summary : withoutDemand(summary));
   }
 }
--- a/src/shards/shard-parts.ts
+++ b/src/shards/shard-parts.ts
@@ -60,7 +60,7 @@
   const onRemoved = (machine: Machine, now: number): void => {
     scheduler.machineRemoved(machine);
     cordons.machineRemoved(machine);
-    jobs.removeGone(now);
+    jobs.removeEndedWithoutTasks(now);
   };
   const machines = new MachineTable({ shard, log, onRemoved });
   const quotaReservations = new QuotaReservations(cancelMs);
--- a/src/shards/shard-records.ts
+++ b/src/shards/shard-records.ts
@@ -93,6 +93,6 @@
     const id = key.slice(prefixes.endedJobs.length);
     if (!quotaReservations.has(id) || readEnded(value)?.stage !== "done") return;
     quotaReservations.release(id);
-    jobs.completions.removeLater(keys.quotaReservation(shard, id));
+    jobs.completions.scheduleRemoval(keys.quotaReservation(shard, id));
   }
 }
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -65,7 +65,7 @@
   }
 
   /** Whether everything that an earlier owner may have left running has been reported, or has surely ended. */
-  get recovered(): boolean {
+  get isRecovered(): boolean {
     return this.parts.machines.isReconciled;
   }
 
@@ -75,8 +75,8 @@
   }
 
   /** This owner has advanced the shard's token itself: workers that show the new one follow this owner as well. */
-  tokenAdvanced(token: number): void {
-    this.parts.heartbeats.tokenAdvanced(token);
+  addTermToken(token: number): void {
+    this.parts.heartbeats.addTermToken(token);
   }
 
   /** Whether the records, as they are known here, still have a job. */
@@ -85,8 +85,8 @@
   }
 
   /** A job's cancellation is durable, whether or not the watch has shown it yet. */
-  cancelled(id: string, now: number): void {
-    this.parts.jobs.cancelled(id, now);
+  cancelJob(id: string, now: number): void {
+    this.parts.jobs.cancelJob(id, now);
   }
 
   /** Takes in a heartbeat and returns the commands for the response; null for one that is not to be answered. */
@@ -100,9 +100,9 @@
     leases.expire(now);
     cordons.expire(now);
     for (const job of quotaReservations.expire(now))
-      jobs.completions.removeLater(keys.quotaReservation(this.id, job));
+      jobs.completions.scheduleRemoval(keys.quotaReservation(this.id, job));
     failures.expireFailures(this.jobs.values(), now);
-    jobs.removeGone(now);
+    jobs.removeEndedWithoutTasks(now);
   }
 
   /** Whether a heartbeat should lead to a full placement round. */
@@ -126,8 +126,8 @@
   }
 
   /** Whether the attempt numbers of the current token are nearly used up. */
-  get attemptsExhausted(): boolean {
-    return this.parts.scheduler.attempts.nearlyExhausted;
+  get areAttemptsNearlyExhausted(): boolean {
+    return this.parts.scheduler.attempts.isNearlyExhausted;
   }
 
   /** The owner has a new token, with new attempt numbers. */
@@ -155,7 +155,7 @@
    * that by then no attempt of it may run any more, not even one whose task another attempt has completed.
    */
   private canComplete(job: Job): boolean {
-    return job.maxParallelTasks === Infinity || (job.active.size === 0 && this.recovered);
+    return job.maxParallelTasks === Infinity || (job.active.size === 0 && this.isRecovered);
   }
 
   /** Completed tasks of jobs that go on, to be written with at most so many writes. */
@@ -191,7 +191,7 @@
   }
 
   /** The job has surely not been migrated. */
-  migrationFailed(job: Job): void {
+  cancelMigration(job: Job): void {
     cancelMigration(job, this.parts.quotaReservations);
   }
 
@@ -213,7 +213,7 @@
     return {
       shard: this.id,
       token,
-      recovered: this.recovered,
+      recovered: this.isRecovered,
       load: measureLoad(input),
       demand: computeDemand(input),
       machines: input.machines.map((machine) => summarizeMachine(machine, now)),
--- a/src/shards/speed-tracker.ts
+++ b/src/shards/speed-tracker.ts
@@ -5,9 +5,9 @@
 import type { Placement } from "../workers/placement.js";
 
 /** The weight of one more task in the moving average of a class's run times. */
-const CLASS_WEIGHT = 0.1;
+const CLASS_AVERAGE_WEIGHT = 0.1;
 /** The weight of one more task in the moving average of a machine's run times. */
-const MACHINE_WEIGHT = 0.25;
+const MACHINE_AVERAGE_WEIGHT = 0.25;
 /** After so many completed tasks a job's mean run time is taken as usual. */
 const MIN_TASKS_OF_JOB = 3;
 /** After so many compared tasks a machine may count as slow. */
@@ -23,31 +23,31 @@
   constructor(private readonly log: Logger) {}
 
   /** How long tasks of a class run for each second of their estimate; 1 before any has completed. */
-  ratio(className: string): number {
+  runtimeRatio(className: string): number {
     return this.runtimeRatios.get(className) ?? 1;
   }
 
   /** A task has completed; `now` is steady time in milliseconds. */
-  finished({ job, machine, state, stateSince, resumed }: Placement, now: number): void {
+  recordFinished({ job, machine, state, stateSince, resumed }: Placement, now: number): void {
     const { className, estimateS, checkpointS } = job.spec;
     // A task that checkpoints may have resumed where it was stopped: its run time says little then.
     if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && resumed)) return;
     const runMs = now - stateSince;
     const measured = runMs / 1000 / estimateS;
     const average = this.runtimeRatios.get(className) ?? measured;
-    this.runtimeRatios.set(className, average + (measured - average) * CLASS_WEIGHT);
-    this.compare(job, machine, runMs);
+    this.runtimeRatios.set(className, average + (measured - average) * CLASS_AVERAGE_WEIGHT);
+    this.updateMachineSpeed(job, machine, runMs);
   }
 
   /** Estimates differ from job to job, so that machines are compared by tasks of the same job only. */
-  private compare(job: Job, machine: Machine, runMs: number): void {
+  private updateMachineSpeed(job: Job, machine: Machine, runMs: number): void {
     const { completedRuns: runs } = job;
-    const usualMs = runs.count < MIN_TASKS_OF_JOB ? 0 : runs.totalMs / runs.count;
+    const meanMs = runs.count < MIN_TASKS_OF_JOB ? 0 : runs.totalMs / runs.count;
     runs.count++;
     runs.totalMs += runMs;
-    if (usualMs <= 0) return;
+    if (meanMs <= 0) return;
     machine.comparedTasks++;
-    machine.relativeRunTime += (runMs / usualMs - machine.relativeRunTime) * MACHINE_WEIGHT;
+    machine.relativeRunTime += (runMs / meanMs - machine.relativeRunTime) * MACHINE_AVERAGE_WEIGHT;
     const slow = machine.comparedTasks >= MIN_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
     if (slow === machine.slow) return;
     machine.slow = slow;
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -128,10 +128,10 @@
 /** A report of one answer, and of one refusal for each reason. */
 function decisions(): DecisionReport {
   const metrics = new DecisionMetrics();
-  metrics.answered(40);
-  for (const reason of REFUSALS) metrics.refused(reason);
-  metrics.stopSent(120);
-  metrics.tasksGone(900);
+  metrics.recordRenewal(40);
+  for (const reason of REFUSALS) metrics.recordRefusal(reason);
+  metrics.recordStopSent(120);
+  metrics.recordTasksGone(900);
   return metrics.report("node-0");
 }
 
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -80,7 +80,7 @@
     finishedJobs: () => [],
     taskProgress: () => [],
     startCommands: () => [],
-    tokenAdvanced: () => undefined,
+    addTermToken: () => undefined,
     isLiveJob: () => true,
     resetAttempts: () => undefined,
     place: mock.fn(() => {
@@ -94,10 +94,15 @@
 /** An owner that may act for its shard and writes nothing. */
 function ownerOf(shard: ReturnType<typeof slowShard>, clock: SteadyClock): ShardOwner {
   const authority = { held: true, token: 1, leaseLeftMs: 1000, viewAgeMs: 0 } as const;
-  const renewalTimings = { maxViewAgeMs: Infinity, spacingMs: 1000 };
+  const renewalTimings = { maxViewAgeMs: Infinity, minIntervalMs: 1000 };
   return new ShardOwner({
     shard: shard as unknown as Shard,
-    timings: { roundBudgetMs: 50, spacingMs: 1000, preemptionSpacingMs: 1000, quietTicks: 8 },
+    timings: {
+      roundBudgetMs: 50,
+      minIntervalMs: 1000,
+      minPreemptionIntervalMs: 1000,
+      maxTicksWithoutHeartbeat: 8,
+    },
     state: { txnOps: 8 } as unknown as StateStoreClient,
     view: new FakeView(),
     fleet: new Fleet(silent),
@@ -106,8 +111,8 @@
       authority: () => authority,
       advanceToken: () => undefined,
       sendSummary: () => undefined,
-      mayPlace: () => true,
-      mayRemoveMachines: () => true,
+      canPlaceTasks: () => true,
+      canRemoveMachines: () => true,
     },
     renewalGuard: new RenewalGuard(0, renewalTimings, new DecisionMetrics(), clock, silent),
     log: silent,
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -156,7 +156,7 @@
     const [usual, slow] = [newMachine("i-1"), newMachine("i-2", { spot: true })];
     const complete = (machine: Machine, job: Job, index: number, runMs: number): void => {
       const placement = startTask(machine, job, index, NOW - runMs);
-      speeds.finished(placement, NOW);
+      speeds.recordFinished(placement, NOW);
       endTask(placement);
     };
     const waiting = newJob("req-9", { cpus: 4 });
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -114,10 +114,13 @@
   const { lines, log } = collectedLog();
   const metrics = new DecisionMetrics();
   let now = 0;
-  const gate = new RenewalGuard(0, { maxViewAgeMs: STALE_MS, spacingMs: 1000 }, metrics, () => now, log);
+  const guard = new RenewalGuard(0, { maxViewAgeMs: STALE_MS, minIntervalMs: 1000 }, metrics, () => now, log);
   const answer = (commands: WorkerCommand[]): boolean => {
-    const right = gate.permission(held, 7, 100);
-    return right.allowed && gate.decide(right, heartbeat(task("over")), commands, isLive) !== null;
+    const permission = guard.checkPermission(held, 7, 100);
+    return (
+      permission.allowed &&
+      guard.decideRenewal(permission, heartbeat(task("over")), commands, isLive) !== null
+    );
   };
   assert.equal(answer([stop("over")]), true);
   for (now = 0; now < 3000; now += 100) assert.equal(answer([]), false);
@@ -136,17 +139,17 @@
 
 test("a shard that stops answering says so once, with the reason, and once when it goes on", () => {
   const { lines, log } = collectedLog();
-  const gate = new RenewalGuard(
+  const guard = new RenewalGuard(
     0,
-    { maxViewAgeMs: STALE_MS, spacingMs: 1000 },
+    { maxViewAgeMs: STALE_MS, minIntervalMs: 1000 },
     new DecisionMetrics(),
     () => 0,
     log,
   );
   const lapsed: ShardAuthority = { held: false, reason: "view_too_old", leaseLeftMs: 0, viewAgeMs: STALE_MS };
-  for (let i = 0; i < 100; i++) gate.permission(lapsed, 7, STALE_MS);
-  for (let i = 0; i < 100; i++) gate.permission(held, 8, 100);
-  for (let i = 0; i < 100; i++) gate.permission(held, 7, 100);
+  for (let i = 0; i < 100; i++) guard.checkPermission(lapsed, 7, STALE_MS);
+  for (let i = 0; i < 100; i++) guard.checkPermission(held, 8, 100);
+  for (let i = 0; i < 100; i++) guard.checkPermission(held, 7, 100);
   assert.deepEqual(
     lines.map(({ msg, reason }) => [msg, reason]),
     [
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -68,7 +68,7 @@
     "take-over": () => this.takeOver(),
     cancel: (id) => this.apply(this.view.remove(keys.job(id), ++this.version)),
     "cancel-confirmed": (id) => {
-      this.shard.cancelled(id, this.now);
+      this.shard.cancelJob(id, this.now);
       return [];
     },
     reset: () => {
@@ -79,7 +79,7 @@
     heartbeat: (host, event) => this.heartbeat(host, event),
     expire: () => {
       this.shard.expire(this.now);
-      return [`recovered ${this.shard.recovered}`];
+      return [`recovered ${this.shard.isRecovered}`];
     },
     tick: () => {
       this.shard.drainInterrupted();
@@ -93,7 +93,7 @@
       return [];
     },
     lost: () => {
-      for (const completion of this.written) completion.onJobGone();
+      for (const completion of this.written) completion.onJobRecordMissing();
       return [];
     },
     demand: () =>
@@ -144,7 +144,7 @@
     this.token = ++this.version;
     const { token: termToken, now: termStartedAt, view } = this;
     this.shardOrNone = newShard({ shard: 0, termToken, termStartedAt, view });
-    return [`token ${this.token}`, `recovered ${this.shard.recovered}`];
+    return [`token ${this.token}`, `recovered ${this.shard.isRecovered}`];
   }
 
   private heartbeat(host: string, event: TraceEvent): string[] {
@@ -248,7 +248,7 @@
       if (shard.needsFullRound) shard.place(token, i, () => i, i + 1);
       else shard.placeOnMachine(host, token, i);
     });
-    assert.equal(shard.recovered, true);
+    assert.equal(shard.isRecovered, true);
     assert.ok(looks.mock.callCount() <= 2 * MACHINES, `${looks.mock.callCount()} looks at machines`);
     assert.equal(listings.mock.callCount(), listingsAtStart);
     assert.ok(listingsAtStart <= 6, `${listingsAtStart} listings of the records`);
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -109,7 +109,7 @@
     assert.equal(prepared.terms.migratedIn, true, "it goes to a shard of another team");
     assert.equal(shard.beginMigration("req-1", 0), null, "not twice");
     assert.deepEqual(shard.summary(TOKEN, 0).migrationCandidates, []);
-    shard.migrationFailed(prepared.job);
+    shard.cancelMigration(prepared.job);
     assert.equal(shard.summary(TOKEN, 0).migrationCandidates[0]?.job, "req-1", "it may be migrated later");
   });
 
