--- a/src/shards/attempt-numbers.ts
+++ b/src/shards/attempt-numbers.ts
@@ -1,24 +1,27 @@
-/** Numbers of task attempts, unique over all owners of a shard. */
+/** Task attempt numbers, unique across all owners of a shard. */
 
-/** An attempt number is a fencing token and a count within its time, so that no number is given twice. */
+/**
+ * Attempt numbers per fencing token. A number combines the token with a counter that restarts with each token, so that
+ * no number is assigned twice.
+ */
 const ATTEMPTS_PER_TOKEN = 2 ** 20;
 
-/** Gives out the attempt numbers of one owner. */
+/** Assigns the attempt numbers of one owner. */
 export class AttemptNumbers {
   private usedCount = 0;
 
-  /** A number that was never given before; `token` is the owner's current fencing token. */
+  /** Returns a number that was never assigned before; `token` is the owner's current fencing token. */
   next(token: number): number {
     this.usedCount++;
     return token * ATTEMPTS_PER_TOKEN + this.usedCount;
   }
 
-  /** Whether the numbers of the current token are nearly used up, so that the token should be advanced. */
+  /** Whether half of the current token's numbers are used up, so that the token should be advanced. */
   get isNearlyExhausted(): boolean {
     return this.usedCount >= ATTEMPTS_PER_TOKEN / 2;
   }
 
-  /** The owner has a new token. */
+  /** Restarts the counter for a new token. */
   reset(): void {
     this.usedCount = 0;
   }
--- a/src/shards/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -1,4 +1,4 @@
-/** Completed tasks of one shard until they are durable: what is to be written next, and what follows from the write. */
+/** Tracks the completed tasks of one shard until they are durable, and builds the writes that record them. */
 import { CHUNK_TASKS } from "../jobs/bitmap.js";
 import { ProgressPages } from "../jobs/progress-pages.js";
 import type { Logger } from "../runtime/log.js";
@@ -6,22 +6,22 @@
 import type { Condition, Write } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 
-/** Completed work that is to be written, and what follows from the write. */
+/** Completed work to be written, with callbacks for the outcome of the write. */
 export interface Completion {
   conditions: Condition[];
   writes: Write[];
-  /** To be called once the writes are durable. */
+  /** Called once the writes are durable. */
   onDurable(): void;
-  /** To be called if the job's record turned out to be gone: it was cancelled first. */
+  /** Called if the job's record no longer exists because the job was cancelled first. */
   onJobRecordMissing(): void;
-  /** The job whose record the conditions name; null where there are none. */
+  /** The job whose record the conditions check; null if there are no conditions. */
   job: string | null;
 }
 
-/** Completed tasks of one job that are written with its page. */
+/** Completed tasks of one job, written as an entry of a shared page. */
 interface PageEntry {
   job: Job;
-  /** All tasks of the job that are not durable yet; may grow while the page is being written. */
+  /** Completed tasks that are not durable yet; may grow while the page is being written. */
   indexes: Set<number>;
   written: number[];
 }
@@ -30,11 +30,14 @@
 
 const isFinished = (job: Job): boolean => job.done.count === job.spec.tasks;
 
-/** Collects completed tasks and turns them into writes: the ends of jobs, and the progress of those that go on. */
+/**
+ * Collects completed tasks and turns them into writes: the completion of finished jobs, and the progress of running
+ * ones.
+ */
 export class CompletionLog {
-  /** Completed tasks, by job, that are not durable yet. */
+  /** Completed tasks that are not durable yet, by job. */
   private readonly unwritten = new Map<Job, Set<number>>();
-  /** Keys of records that are not needed any more: removed when a transaction has writes to spare. */
+  /** Keys of obsolete records, removed when a transaction has spare writes. */
   private readonly staleKeys = new Set<string>();
   private readonly progress: ProgressPages;
 
@@ -42,20 +45,23 @@
     private readonly shard: number,
     valueBytes: number,
     private readonly log: Logger,
-    /** Drops a job whose record turned out to be gone. */
+    /** Ends a job whose record no longer exists. */
     private readonly endJob: (id: string) => void,
   ) {
     this.progress = new ProgressPages(valueBytes);
   }
 
-  /** A task of a job has completed. */
+  /** Records a completed task. */
   add(job: Job, index: number): void {
     const indexes = this.unwritten.get(job);
     if (indexes) indexes.add(index);
     else this.unwritten.set(job, new Set([index]));
   }
 
-  /** The job's record is gone: nothing more is written of it, and what was written is removed later. */
+  /**
+   * Drops a job whose record no longer exists: nothing more is written for it, and its progress records are removed
+   * later.
+   */
   removeJob(job: Job): void {
     const { id, tasks } = job.spec;
     this.unwritten.delete(job);
@@ -65,17 +71,22 @@
       this.staleKeys.add(keys.completedTasksChunk(id, chunk));
   }
 
-  /** A record that is not needed any more is removed when a transaction has writes to spare. */
+  /** Schedules an obsolete record for removal when a transaction has spare writes. */
   scheduleRemoval(key: string): void {
     this.staleKeys.add(key);
   }
 
-  /** Applies what an earlier owner has written of a job: base64 bits of its completed tasks, on a page. */
+  /**
+   * Loads a job's entry of a page that an earlier owner has written; `bits` is its bitmap of completed tasks in base64.
+   */
   loadPageEntry(page: number, id: string, bits: string): void {
     this.progress.load(page, { [id]: bits });
   }
 
-  /** Jobs whose last task has completed and that may be written as done, with at most so many writes. */
+  /**
+   * Builds completions for the jobs whose last task has completed and that may be written as done, with at most
+   * `maxWrites` writes in total.
+   */
   finishedJobs(maxWrites: number, canComplete: (job: Job) => boolean): Completion[] {
     const completions: Completion[] = [];
     let remainingWrites = maxWrites;
@@ -89,7 +100,10 @@
     return completions;
   }
 
-  /** Completed tasks of jobs that go on, with at most so many writes; stale records are removed with the rest of them. */
+  /**
+   * Builds completions for the progress of unfinished jobs, with at most `maxWrites` writes in total; spare writes
+   * remove obsolete records.
+   */
   taskProgress(maxWrites: number): Completion[] {
     const completions: Completion[] = [];
     const pages = new Map<number, PageEntry[]>();
@@ -192,7 +206,10 @@
     };
   }
 
-  /** What was to be written of a job whose record is gone is never retried, or other jobs' writes would fail with it. */
+  /**
+   * Drops the unwritten tasks of a job whose record no longer exists: retrying them would fail the transactions of
+   * other jobs as well.
+   */
   private discardJob(job: Job): void {
     this.unwritten.delete(job);
     this.endJob(job.spec.id);
--- a/src/shards/completion-writer.ts
+++ b/src/shards/completion-writer.ts
@@ -8,24 +8,24 @@
 import type { OwnerTerm } from "./owner-term.js";
 import type { Shard } from "./shard.js";
 
-/** What the writer of one shard's completed tasks is made from. */
+/** Dependencies of a shard's completion writer. */
 export interface CompletionWriterDependencies {
   readonly shard: Shard;
   readonly term: OwnerTerm;
   readonly state: StateStoreClient;
   readonly clock: SteadyClock;
-  /** The least time between two writes, in milliseconds. */
+  /** Minimum time between two writes, in milliseconds. */
   readonly minWriteIntervalMs: number;
-  /** The least time between two writes of the progress of jobs that go on, in milliseconds. */
+  /** Minimum time between two writes of the progress of unfinished jobs, in milliseconds. */
   readonly minProgressIntervalMs: number;
-  /** Called when a write has ended, well or not; the owner then calls `writeEnded` in its turn. */
+  /** Called when a write has succeeded or failed; the owner must then call `writeEnded` from its message queue. */
   readonly onWriteEnded: () => void;
   readonly log: Logger;
 }
 
 /**
- * One transaction at a time, each on the condition that the shard's record is unchanged. Finished jobs come first, since
- * users wait for them; progress is written now and then, and workers keep results until it is.
+ * Runs one transaction at a time, each conditional on the shard's record being unchanged. Finished jobs have priority,
+ * since users wait for them. Progress is written at longer intervals; workers keep the results until it is durable.
  */
 export class CompletionWriter {
   private writePending = false;
@@ -34,7 +34,7 @@
 
   constructor(private readonly dependencies: CompletionWriterDependencies) {}
 
-  /** Starts a write if one is due and none is under way. */
+  /** Starts a write if one is due and none is in progress. */
   write(): void {
     const { shard, term, state, clock, minWriteIntervalMs, minProgressIntervalMs } = this.dependencies;
     const token = term.currentToken();
@@ -52,7 +52,7 @@
     this.startWrite(token, progress, "note", now);
   }
 
-  /** The last write has ended: starts the next one if it is due. */
+  /** Handles the end of the last write: starts the next one if it is due. */
   writeEnded(): void {
     this.writePending = false;
     this.write();
@@ -77,19 +77,25 @@
       else if (!result.failedKeys.includes(shardKey))
         await this.resolveFailedConditions(completions, result.failedKeys);
     } catch (err) {
-      log.debug({ err }, "completions not written");
+      log.debug({ err }, "failed to write completed tasks");
     }
     onWriteEnded();
   }
 
-  /** Guards against a completion racing with a cancellation: whoever changed the job's record first has won. */
+  /**
+   * Resolves the completions whose conditions failed, for instance because a cancellation changed the job's record
+   * first.
+   */
   private async resolveFailedConditions(completions: Completion[], failedKeys: string[]): Promise<void> {
     for (const completion of completions)
       if (completion.conditions.some(({ key }) => failedKeys.includes(key)))
         await this.resolveCompletion(completion);
   }
 
-  /** The job's record is not as it was known: it was ended by another controller, or by an earlier try of this owner. */
+  /**
+   * The job's record differs from the expected version: the job was ended by another controller, or by an earlier
+   * attempt of this owner.
+   */
   private async resolveCompletion(completion: Completion): Promise<void> {
     const { job } = completion;
     if (job === null) return;
--- a/src/shards/decision-metrics.ts
+++ b/src/shards/decision-metrics.ts
@@ -1,11 +1,11 @@
-/** Counts and distributions of the decisions that stop cancelled tasks, for operators. */
+/** Metrics of lease renewal decisions and of how fast the tasks of ended jobs are stopped, for operators. */
 import { createHistogram, type RecordableHistogram } from "node:perf_hooks";
 import { VIOLATIONS, type RenewalRefusal } from "../workers/lease-renewal.js";
 
-/** Longer durations are recorded as this. */
+/** Upper bound of recorded durations: longer ones are recorded as this value. */
 const MAX_DURATION_MS = 3_600_000;
 
-/** A distribution of durations, in milliseconds. */
+/** Summary of a distribution of durations, in milliseconds. */
 interface Distribution {
   count: number;
   p50: number;
@@ -13,24 +13,29 @@
   max: number;
 }
 
-/** The answer to `GET /decisions`: this process's decisions since its start. Its names are part of the interface. */
+/**
+ * The response to `GET /decisions`: this process's decisions since it started. The property names are part of the
+ * interface.
+ */
 export interface DecisionReport {
   node: string;
-  /** Responses that renewed a worker's lease. */
+  /** Number of responses that renewed a worker's lease. */
   answered: number;
-  /** Heartbeats whose lease renewal was refused, by reason. */
+  /** Number of heartbeats whose lease renewal was refused, by reason. */
   refused: Record<string, number>;
-  /** Renewals that were rejected because they would have broken a rule: a fault of this program. */
+  /** Number of renewals rejected because they would have violated a rule, which indicates a fault in this program. */
   violations: number;
-  /** How old the records were on which renewals were decided. */
+  /** Age of the records on which renewals were decided. */
   recordsAgeMs: Distribution;
-  /** From when a job's end can have been confirmed at the earliest to the first stop of its tasks. */
+  /** Time from the earliest possible confirmation of a job's end to the first stop command for its tasks. */
   endToStopMs: Distribution;
-  /** From then to the proof that none of its tasks is on a machine. */
+  /**
+   * Time from the earliest possible confirmation of a job's end to the proof that none of its tasks is on a machine.
+   */
   endToGoneMs: Distribution;
 }
 
-/** A histogram of durations in milliseconds, from 1 to `MAX_DURATION_MS`. */
+/** Histogram of durations in milliseconds, from 1 to `MAX_DURATION_MS`. */
 class DurationHistogram {
   private readonly histogram: RecordableHistogram = createHistogram({ highest: MAX_DURATION_MS, figures: 2 });
 
@@ -45,7 +50,7 @@
   }
 }
 
-/** The decisions of one process. */
+/** Counts the renewal decisions and stop latencies of one process. */
 export class DecisionMetrics {
   private renewalCount = 0;
   private violationCount = 0;
@@ -54,29 +59,29 @@
   private readonly endToStop = new DurationHistogram();
   private readonly endToGone = new DurationHistogram();
 
-  /** A lease renewal was sent, decided on records of this age. */
+  /** Records a lease renewal that was decided on records of this age. */
   recordRenewal(recordsAgeMs: number): void {
     this.renewalCount++;
     this.recordsAge.record(recordsAgeMs);
   }
 
-  /** A lease renewal was refused. */
+  /** Records a refused lease renewal. */
   recordRefusal(reason: RenewalRefusal): void {
     this.refusalCounts.set(reason, (this.refusalCounts.get(reason) ?? 0) + 1);
     if (VIOLATIONS.has(reason)) this.violationCount++;
   }
 
-  /** The first stop of an ended job's tasks was sent so long after the job's end. */
+  /** Records the time from a job's end to the first stop command for its tasks. */
   recordStopSent(afterMs: number): void {
     this.endToStop.record(afterMs);
   }
 
-  /** The last task of an ended job was proven gone so long after the job's end. */
+  /** Records the time from a job's end to the proof that its last task is gone. */
   recordTasksGone(afterMs: number): void {
     this.endToGone.record(afterMs);
   }
 
-  /** The counts and distributions so far, as `GET /decisions` of this node shows them. */
+  /** Returns the counts and distributions so far, as reported by `GET /decisions` on this node. */
   report(node: string): DecisionReport {
     return {
       node,
--- a/src/shards/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs that have ended while tasks of theirs are on machines: when they were stopped, and when they were gone. */
+/** Tracks ended jobs that still have tasks on machines, and records how long stopping those tasks takes. */
 import type { Logger } from "../runtime/log.js";
 import type { WorkerCommand } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
@@ -6,12 +6,12 @@
 
 interface EndedJob {
   job: Job;
-  /** When its end can have been confirmed at the earliest: steady time in milliseconds. */
+  /** Earliest time at which its end can have been confirmed: steady time in milliseconds. */
   earliestEndAt: number;
   stopSent: boolean;
 }
 
-/** Follows the ended jobs of one shard until none of their tasks is left. */
+/** Tracks the ended jobs of one shard until none of their tasks is left. */
 export class EndedJobs {
   private readonly pending = new Map<string, EndedJob>();
 
@@ -21,7 +21,10 @@
     private readonly log: Logger,
   ) {}
 
-  /** A job with tasks on machines has ended, at the earliest at `earliestEndAt`: steady time in milliseconds. */
+  /**
+   * Adds an ended job that has tasks on machines; `earliestEndAt` is the earliest time at which its end can have been
+   * confirmed, steady time in milliseconds.
+   */
   add(job: Job, earliestEndAt: number): void {
     this.pending.set(job.spec.id, { job, earliestEndAt, stopSent: false });
     this.log.info(
@@ -30,7 +33,7 @@
     );
   }
 
-  /** Records which ended jobs are stopped by commands that go out now. */
+  /** Records the first stop command that is sent for each ended job. */
   recordStops(commands: readonly WorkerCommand[], now: number): void {
     if (this.pending.size === 0) return;
     for (const { op, job } of commands) {
@@ -41,7 +44,7 @@
     }
   }
 
-  /** Removes the jobs that have no task on a machine any more. */
+  /** Removes the jobs that have no task left on any machine. */
   removeWithoutTasks(now: number): void {
     for (const [id, { job, earliestEndAt }] of this.pending) {
       if (job.active.size > 0) continue;
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -1,23 +1,25 @@
-/** Distinguishes faulty jobs from faulty machines, by where else each of them succeeds. */
+/** Distinguishes faulty jobs from faulty machines by where else they succeed or fail. */
 import type { Logger } from "../runtime/log.js";
 import { MAX_WAIT_WITH_FREE_CAPACITY_S } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 
-/** A job that fails on so many machines is faulty itself. */
+/** A job counts as faulty once it has failed on this many machines. */
 const MIN_MACHINES_FOR_FAULTY_JOB = 3;
 
-/** The longest back-off of a faulty job, as a part of the time that nobody waits beside free capacity. */
+/** Longest back-off of a faulty job, as a fraction of the maximum wait of a job while capacity is free. */
 const MAX_BACKOFF_FRACTION = 2 / 3;
 const MAX_BACKOFF_MS = MAX_BACKOFF_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
 
-/** So many leases after a failure the job may be retried on that machine. */
+/** A job may be retried on a machine this many lease durations after it failed there. */
 const FAILURE_RETENTION_LEASES = 2;
 
-/** A machine on which so many jobs fail, with no success between, is faulty itself. */
+/** A machine counts as faulty once this many jobs have failed on it without a success in between. */
 const MIN_JOBS_FOR_FAULTY_MACHINE = 2;
 
-/** Counts failures per job and machine, quarantines machines and retries faulty jobs with exponential back-off. */
+/**
+ * Tracks failures per job and machine, quarantines faulty machines, and retries faulty jobs with exponential back-off.
+ */
 export class FailureTracker {
   constructor(
     private readonly machines: ReadonlyMap<string, Machine>,
@@ -25,16 +27,17 @@
     private readonly log: Logger,
   ) {}
 
-  /** A task succeeded: neither its job nor its machine is faulty. */
+  /** Records a successful task: neither its job nor its machine is faulty. */
   recordSuccess(job: Job, machine: Machine): void {
     machine.failedJobs.clear();
     job.backOffCount = 0;
     job.suspectedFaulty = false;
   }
 
-  /** A task of the job failed on the machine; `now` is steady time in milliseconds. */
+  /** Records a failed task; `now` is steady time in milliseconds. */
   recordFailure(job: Job, machine: Machine, now: number): void {
-    // Tasks that were running when the job was found faulty prove nothing new about it or its machines.
+    // Failures of tasks that were already running when the job was found faulty are no new evidence about it or its
+    // machines.
     if (job.notBefore > now) return;
     job.failedOn.set(machine.host, now);
     machine.failedJobs.add(job.spec.id);
@@ -46,8 +49,9 @@
   }
 
   /**
-   * The job fails wherever it runs. Its machines are not at fault, and it is retried with exponential back-off, but within
-   * the time that nobody waits beside free capacity: it may have been the machines after all.
+   * Delays the next attempt of a job that fails wherever it runs, and clears its machines of suspicion. The exponential
+   * back-off stays within the maximum wait of a job while capacity is free, since the machines may have been at fault
+   * after all.
    */
   private backOff(job: Job, now: number): void {
     for (const host of job.failedOn.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
@@ -57,11 +61,14 @@
     job.backOffCount++;
     this.log.info(
       { job: job.spec.id, failures: job.backOffCount },
-      "job backed off: it fails on every machine",
+      "job fails on several machines; retrying with back-off",
     );
   }
 
-  /** Guards against a job that waits for ever beside free capacity: the only machines may be those on which it failed. */
+  /**
+   * Drops failures that are too old. Otherwise a job could wait forever while capacity is free, if the only machines
+   * with room are those on which it failed.
+   */
   expireFailures(jobs: Iterable<Job>, now: number): void {
     for (const { failedOn } of jobs)
       for (const [host, failedAt] of failedOn)
--- a/src/shards/heartbeat-handler.ts
+++ b/src/shards/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Takes heartbeats into the state of one shard, and follows up on the tasks that ended. */
+/** Applies heartbeats to the state of one shard and handles the tasks that they report as exited. */
 import { recordResponse } from "../workers/lost-responses.js";
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
@@ -10,44 +10,44 @@
 import type { MachineTable } from "./machine-table.js";
 import type { SpeedTracker } from "./speed-tracker.js";
 
-/** So many heartbeat intervals nothing is placed after a worker has refused a start. */
+/** Number of heartbeat intervals without placement after a worker has refused to start a task. */
 const REFUSED_START_PAUSE_HEARTBEATS = 2;
 
-/** What the handling of heartbeats of one shard is made from. */
+/** Dependencies of a shard's heartbeat handler. */
 export interface HeartbeatHandlerDependencies {
   readonly shard: number;
   readonly jobs: JobTable;
   readonly machines: MachineTable;
   readonly failures: FailureTracker;
   readonly speeds: SpeedTracker;
-  /** The fencing token with which this owner's term began. */
+  /** Fencing token at the start of this owner's term. */
   readonly termToken: number;
-  /** When this owner's term began: steady time in milliseconds. */
+  /** Start of this owner's term: steady time in milliseconds. */
   readonly termStartedAt: number;
-  /** A worker's lease with everything that may delay its end, in milliseconds. */
+  /** Worker lease duration including clock drift and response delay, in milliseconds. */
   readonly leaseMs: number;
-  /** The workers' heartbeat interval in milliseconds. */
+  /** Heartbeat interval of the workers, in milliseconds. */
   readonly heartbeatIntervalMs: number;
   readonly log: Logger;
 }
 
-/** Reconciles heartbeats with what the owner knows of its shard. */
+/** Reconciles heartbeats with the owner's state of its shard. */
 export class HeartbeatHandler {
-  /** All fencing tokens of this owner's term. */
+  /** Fencing tokens that were valid in this owner's term. */
   private readonly termTokens: Set<number>;
 
   constructor(private readonly dependencies: HeartbeatHandlerDependencies) {
     this.termTokens = new Set([dependencies.termToken]);
   }
 
-  /** This owner has advanced the shard's token itself: workers that show the new one follow this owner as well. */
+  /** Adds a token to which this owner advanced the shard: workers that report it follow this owner as well. */
   addTermToken(token: number): void {
     this.termTokens.add(token);
   }
 
   /**
-   * Takes a heartbeat into the shard's state, and returns the commands for the response; null for a heartbeat that is
-   * not newer than the last one, or of a machine of another shard. `now` is steady time in milliseconds.
+   * Applies a heartbeat to the shard's state and returns the commands for the response. Returns null for a heartbeat
+   * that is not newer than the last one, or whose machine is not in this shard. `now` is steady time in milliseconds.
    */
   reconcile(heartbeat: Heartbeat, now: number): WorkerCommand[] | null {
     const { jobs, machines, speeds, shard, log } = this.dependencies;
@@ -87,19 +87,19 @@
     switch (cause) {
       case "done":
         failures.recordSuccess(job, machine);
-        // Guards against writing the end of a job that was cancelled while its last task ended: its record is gone, and
-        // the transaction would fail again and again, with those of all the jobs that are written together with it.
+        // A job cancelled while its last task completed is not written as done: its record no longer exists, so the
+        // transaction would fail on every retry, together with all other jobs in the same transaction.
         if (!job.terminating) jobs.completions.add(job, index);
         return;
       case "error":
         failures.recordFailure(job, machine, now);
         return;
       case "no_room":
-        // The worker counts something that is not known here yet; its next heartbeats will show it.
+        // The worker accounts for resource use that is not known here yet; its next heartbeats will report it.
         machine.notBefore = retryAt;
         return;
       case "unknown":
-        // The owner of the job has yet to upload it.
+        // The worker found no such task: the job's owner has not uploaded it yet.
         job.notBefore = retryAt;
         return;
       case "busy":
--- a/src/shards/heartbeat-responder.ts
+++ b/src/shards/heartbeat-responder.ts
@@ -1,4 +1,4 @@
-/** Decides how one shard's owner responds to a heartbeat. */
+/** Builds the response of one shard's owner to a heartbeat. */
 import { limitCommands } from "../workers/worker-commands.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Heartbeat, WorkerCommand } from "../wire/index.js";
@@ -12,7 +12,7 @@
 
 const REFUSED: HeartbeatResponse = { kind: "refused" };
 
-/** What the responder of one shard is made from. */
+/** Dependencies of a shard's heartbeat responder. */
 export interface HeartbeatResponderDependencies {
   readonly shard: Shard;
   readonly term: ShardTerm;
@@ -28,7 +28,7 @@
 export class HeartbeatResponder {
   constructor(private readonly dependencies: HeartbeatResponderDependencies) {}
 
-  /** Reconciles a heartbeat, places on its machine, and renews the worker's lease if that is allowed. */
+  /** Reconciles a heartbeat, places tasks on its machine, and renews the worker's lease if that is allowed. */
   respond(heartbeat: Heartbeat): HeartbeatResponse {
     const { shard, term, callbacks, renewalGuard, clock } = this.dependencies;
     const now = clock();
@@ -38,7 +38,8 @@
       now - shard.viewCompleteAsOf,
     );
     if (!permission.allowed) {
-      // Either we are deposed, and the advance fails, or the machine comes from a shard with a higher token.
+      // Either another owner has taken over the shard, and advancing the token fails, or the machine was transferred
+      // from a shard with a higher token.
       if (permission.reason === "newer_token") callbacks.advanceToken();
       return REFUSED;
     }
@@ -57,7 +58,7 @@
     return renewal === null ? REFUSED : { kind: "commands", renewal };
   }
 
-  /** Adds the starts of tasks that are placed on the machine now to the commands. */
+  /** Places tasks on the machine and adds their start commands. */
   private addStartsAtHeartbeat(host: string, token: number, now: number, commands: WorkerCommand[]): void {
     const { shard, callbacks, rounds } = this.dependencies;
     if (!callbacks.canPlaceTasks() || !rounds.placeAtHeartbeat(host, token, now)) return;
--- a/src/shards/image-holders.ts
+++ b/src/shards/image-holders.ts
@@ -1,14 +1,14 @@
-/** How many machines of a shard hold which image. */
+/** Counts the machines of a shard that hold each image. */
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 import { slotsPerMachine } from "../placement/capacity.js";
 import type { MachineType } from "../wire/index.js";
 
-/** Counts the schedulable machines that hold an image, as of the last full placement round. */
+/** Number of schedulable machines that hold each image, as of the last full placement round. */
 export class ImageHolders {
   private counts = new Map<string, number>();
 
-  /** Counts anew. */
+  /** Recomputes the counts. */
   recount(machines: Iterable<Machine>): void {
     this.counts = new Map();
     for (const machine of machines) {
@@ -17,7 +17,10 @@
     }
   }
 
-  /** Whether machines of this type with the job's image could hold all waiting tasks of the job at once. */
+  /**
+   * Whether the machines with the job's image, if they are of this type, could hold all waiting tasks of the job at
+   * once.
+   */
   canHoldWaiting({ spec, waiting }: Job, type: MachineType | undefined): boolean {
     const slots = type === undefined ? 0 : slotsPerMachine(spec, type);
     return slots > 0 && (this.counts.get(spec.image) ?? 0) * slots >= waiting;
--- a/src/shards/job-table.ts
+++ b/src/shards/job-table.ts
@@ -1,4 +1,4 @@
-/** The jobs of one shard, followed from their records until none of their tasks is left on a machine. */
+/** The jobs of one shard, tracked from their records until none of their tasks is left on a machine. */
 import { Job } from "../workers/job.js";
 import { LRUCache } from "lru-cache";
 import { readCompletedTasksChunk, readCompletedTasksPage, readJob } from "../jobs/job-records.js";
@@ -10,24 +10,24 @@
 import type { DecisionMetrics } from "./decision-metrics.js";
 import { EndedJobs } from "./ended-jobs.js";
 
-/** How many confirmed cancellations are remembered: many more than are made while the watch lags behind. */
+/** Number of confirmed cancellations that are remembered: far more than can be made while the watch lags behind. */
 const REMEMBERED_CANCELLATIONS = 10_000;
 
-/** What the job table of one shard is made from. */
+/** Dependencies of a shard's job table. */
 export interface JobTableDependencies {
   readonly shard: number;
-  /** The largest value that the state store accepts, in bytes. */
+  /** Maximum size of a value in the state store, in bytes. */
   readonly valueBytes: number;
   readonly metrics: DecisionMetrics;
   readonly log: Logger;
 }
 
-/** The jobs of one shard and what has yet to be written of them. */
+/** The jobs of one shard and their unwritten progress. */
 export class JobTable {
-  /** The jobs by id: live ones, and ended ones with tasks on machines. */
+  /** Jobs by id: live jobs, and ended jobs that still have tasks on machines. */
   readonly byId = new Map<string, Job>();
   readonly completions: CompletionLog;
-  /** Jobs that have ended while tasks of theirs are on machines. */
+  /** Ended jobs that still have tasks on machines. */
   readonly endedJobs: EndedJobs;
   /** Whether jobs were added since the last full placement round. */
   hasNewJobs = false;
@@ -54,14 +54,14 @@
       this.endJob(id, now);
       return;
     }
-    // Guards against starting a cancelled job again from records read before the cancellation.
+    // Records read before the cancellation must not start a cancelled job again.
     if (this.byId.get(id)?.version === change.version || this.confirmedCancellations.has(id)) return;
     const record = readJob(change.value);
     if (record === null) {
       this.log.error({ key: change.key }, "unreadable job record");
       return;
     }
-    // It may have been migrated to another shard.
+    // The job may have been migrated to another shard.
     if (record.shard !== this.shard) {
       this.endJob(id, now);
       return;
@@ -71,14 +71,14 @@
     this.hasNewJobs = true;
   }
 
-  /** Applies a changed record of completed tasks: a page that many jobs share, or a chunk of one large job. */
+  /** Applies a changed record of completed tasks: a page shared by many jobs, or a chunk of one large job. */
   applyCompletedTasks(change: RecordChange, view: ReplicaView): void {
     const [owner = "", part = ""] = change.key.slice(prefixes.completedTasks.length).split("/");
     if (owner === String(this.shard)) this.applyPage(Number(part), readCompletedTasksPage(change.value));
     else this.applyChunk(owner, Number(part), change, view);
   }
 
-  /** What this owner wrote itself comes back through the watch as well, and changes nothing. */
+  /** Applies a page. The watch also delivers this owner's own writes, which change nothing. */
   private applyPage(page: number, jobs: Record<string, string> | null): void {
     if (jobs === null) return;
     for (const [id, bits] of Object.entries(jobs)) {
@@ -94,34 +94,37 @@
     const bits = readCompletedTasksChunk(change.value);
     if (bits === null) return;
     if (job) job.mergeDone(chunk, bits);
-    // One shard removes what is left of ended jobs, so that the shards do not all try it.
+    // Only shard 0 removes the remaining records of ended jobs, so that the shards do not all attempt it.
     else if (this.shard === 0 && !view.get(keys.job(id))) this.completions.scheduleRemoval(change.key);
   }
 
-  /** Ends the jobs that a complete reading of the records does not contain. */
+  /** Ends the jobs that a complete read of the records does not contain. */
   endMissing(view: ReplicaView, now: number): void {
     for (const id of this.byId.keys()) if (!view.get(keys.job(id))) this.endJob(id, now);
   }
 
-  /** A cancellation is durable, whether or not the watch has shown it yet. */
+  /** Ends a job whose cancellation is durable, whether or not the watch has delivered it yet. */
   cancelJob(id: string, now: number): void {
     this.confirmedCancellations.set(id, true);
     this.endJob(id, now);
     this.removeEndedWithoutTasks(now);
   }
 
-  /** The record is gone: done, cancelled or migrated. Tasks still on machines are stopped and count until proven gone. */
+  /**
+   * Ends a job whose record was removed (done, cancelled) or that was migrated. Its tasks on machines are stopped, and
+   * count until they are proven to have ended.
+   */
   private endJob(id: string, now: number): void {
     const job = this.byId.get(id);
     if (job === undefined) return;
-    // The view before this one lacked its end, which is therefore no older than that view.
+    // The previous view still contained the job, so the job cannot have ended before that view was complete.
     if (!job.terminating && job.active.size > 0) this.endedJobs.add(job, Math.min(now, this.completeAsOf));
     job.terminating = true;
     this.completions.removeJob(job);
     if (job.active.size === 0) this.byId.delete(id);
   }
 
-  /** Removes the ended jobs that have no task on a machine any more. */
+  /** Removes the ended jobs that have no task left on any machine. */
   removeEndedWithoutTasks(now: number): void {
     this.endedJobs.removeWithoutTasks(now);
     for (const [id, job] of this.byId) if (job.terminating && job.active.size === 0) this.byId.delete(id);
--- a/src/shards/lease-expiry.ts
+++ b/src/shards/lease-expiry.ts
@@ -1,27 +1,27 @@
-/** Expiry of workers' leases: from when on everything on a machine that does not report is surely gone. */
+/** Expiry of worker leases: once a lease has certainly expired, no task runs on its machine any more. */
 import { releaseAll } from "../workers/placement.js";
 import type { Machine } from "../workers/machine.js";
 import type { Logger } from "../runtime/log.js";
 
-/** What lease expiry of one shard is made from. */
+/** Dependencies of a shard's lease expiry. */
 export interface LeaseExpiryDependencies {
   readonly shard: number;
   readonly machines: ReadonlyMap<string, Machine>;
-  /** When this owner's term began: steady time in milliseconds. */
+  /** Start of this owner's term: steady time in milliseconds. */
   readonly termStartedAt: number;
-  /** A worker's lease with everything that may delay its end, in milliseconds. */
+  /** Worker lease duration including clock drift and response delay, in milliseconds. */
   readonly leaseMs: number;
   readonly log: Logger;
 }
 
-/** Expires the leases of machines that do not report any more. */
+/** Expires the leases of machines that have stopped sending heartbeats. */
 export class LeaseExpiry {
-  /** How many machines have reported and hold a lease, as of the last check: these are expected to report. */
+  /** Number of machines whose lease had not expired at the last check: heartbeats are expected from these. */
   expectedHeartbeatSources = 0;
 
   constructor(private readonly dependencies: LeaseExpiryDependencies) {}
 
-  /** Releases everything on machines whose lease has surely expired by `now`, steady time in milliseconds. */
+  /** Releases all placements on machines whose lease has certainly expired by `now`, steady time in milliseconds. */
   expire(now: number): void {
     const { machines, leaseMs } = this.dependencies;
     this.expectedHeartbeatSources = 0;
@@ -33,7 +33,10 @@
     }
   }
 
-  /** Before the first heartbeat in this term, an earlier owner may have renewed the lease until the term began. */
+  /**
+   * Latest time at which the lease may have been renewed; null if it never was. An earlier owner may have renewed it
+   * until this term began, as long as no heartbeat has arrived in this term.
+   */
   private latestPossibleRenewalAt(machine: Machine): number | null {
     if (machine.lastHeartbeatAt !== null) return machine.lastHeartbeatAt;
     return machine.unreconciled ? this.dependencies.termStartedAt : machine.firstHeartbeatAt;
--- a/src/shards/machine-recorder.ts
+++ b/src/shards/machine-recorder.ts
@@ -1,4 +1,4 @@
-/** Records which machines of a shard have reported, before anything is placed on them. */
+/** Records which machines of a shard have reported, before any task is placed on them. */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { keys } from "../state/keys.js";
@@ -7,28 +7,28 @@
 import type { OwnerTerm } from "./owner-term.js";
 import type { Shard } from "./shard.js";
 
-/** What the recorder of one shard's machines is made from. */
+/** Dependencies of a shard's machine recorder. */
 export interface MachineRecorderDependencies {
   readonly shard: Shard;
   readonly term: OwnerTerm;
   readonly fleet: Fleet;
   readonly state: StateStoreClient;
   readonly clock: SteadyClock;
-  /** The least time between two writes, in milliseconds. */
+  /** Minimum time between two writes, in milliseconds. */
   readonly minWriteIntervalMs: number;
-  /** Called when a write has ended, well or not; the owner then calls `writeEnded` in its turn. */
+  /** Called when a write has succeeded or failed; the owner must then call `writeEnded` from its message queue. */
   readonly onWriteEnded: () => void;
   readonly log: Logger;
 }
 
-/** Writes the records of machines that have reported, one write at a time. */
+/** Updates the records of machines that have reported, one write at a time. */
 export class MachineRecorder {
   private writePending = false;
   private lastAttemptAt = -Infinity;
 
   constructor(private readonly dependencies: MachineRecorderDependencies) {}
 
-  /** Starts a write if machines have reported that are not recorded as such, and none is under way. */
+  /** Starts a write if machines have reported whose records do not show it yet, and no write is in progress. */
   record(): void {
     const { shard, term, fleet, state, clock, minWriteIntervalMs } = this.dependencies;
     const token = term.currentToken();
@@ -43,12 +43,12 @@
     state
       .compareAndSwap([{ key: keys.shard(shard.id), version: token }, ...conditions], writes, "note")
       .catch((err: unknown) => {
-        this.dependencies.log.debug({ err }, "machine records not written");
+        this.dependencies.log.debug({ err }, "failed to write machine records");
       })
       .finally(this.dependencies.onWriteEnded);
   }
 
-  /** The last write has ended. */
+  /** Marks the last write as ended, so that the next one can start. */
   writeEnded(): void {
     this.writePending = false;
   }
--- a/src/shards/machine-table.ts
+++ b/src/shards/machine-table.ts
@@ -1,4 +1,4 @@
-/** The machines of one shard, followed from the records of their groups. */
+/** The machines of one shard, tracked through the records of their machine groups. */
 import { releaseAll } from "../workers/placement.js";
 import { Machine } from "../workers/machine.js";
 import { LRUCache } from "lru-cache";
@@ -13,37 +13,38 @@
 } from "../workers/machine-records.js";
 
 /**
- * How many removed machines are remembered, so that late copies of their heartbeats are recognised: more than a shard
- * with every machine of a large fleet loses within the minutes for which copies may be late.
+ * Number of removed machines that are remembered, to recognise delayed duplicates of their heartbeats. Exceeds the
+ * number of machines that a shard with every machine of a large fleet loses within the minutes for which duplicates may
+ * be delayed.
  */
 const REMEMBERED_REMOVED_MACHINES = 10_000;
 
 const NO_HOSTS: ReadonlySet<string> = new Set();
 
-/** How new the last heartbeat of a machine was. */
+/** Epoch and sequence number of a machine's last heartbeat. */
 interface HeartbeatPosition {
   epoch: number;
   sequence: number;
 }
 
-/** What the machine table of one shard is made from. */
+/** Dependencies of a shard's machine table. */
 export interface MachineTableDependencies {
   readonly shard: number;
   readonly log: Logger;
-  /** Called after a machine and its placements were removed: its record is gone, or names another shard. */
+  /** Called after a machine and its placements were removed, because its record was removed or names another shard. */
   readonly onRemoved: (machine: Machine, now: number) => void;
 }
 
 /** The machines of one shard. */
 export class MachineTable {
   readonly byHost = new Map<string, Machine>();
-  /** The hosts of this shard by the key of their group's record. */
+  /** Hosts of this shard, by the key of their group's record. */
   private readonly hostsByGroup = new Map<string, Set<string>>();
   private readonly removed = new LRUCache<string, HeartbeatPosition>({ max: REMEMBERED_REMOVED_MACHINES });
 
   constructor(private readonly dependencies: MachineTableDependencies) {}
 
-  /** Whether everything that an earlier owner may have left running has been reported, or has surely ended. */
+  /** Whether every task that an earlier owner may have left running has been reported or has certainly ended. */
   get isReconciled(): boolean {
     for (const machine of this.byHost.values()) if (machine.unreconciled) return false;
     return true;
@@ -52,7 +53,7 @@
   /** Applies a changed record of a machine group. */
   applyGroup({ key, value }: RecordChange, now: number): void {
     const group = value === undefined ? null : readMachineGroup(value);
-    // A record that cannot be read proves nothing: what is on its machines still counts.
+    // An unreadable record proves nothing: the placements on its machines still count.
     if (group === null && value !== undefined) {
       this.dependencies.log.error({ key }, "unreadable machine record");
       return;
@@ -62,13 +63,13 @@
     if (formerHosts !== undefined) this.removeFormerHosts(key, formerHosts, hosts, now);
   }
 
-  /** Removes the groups that a complete reading of the records does not contain. */
+  /** Removes the groups that a complete read of the records does not contain. */
   removeMissingGroups(view: ReplicaView, now: number): void {
     for (const key of [...this.hostsByGroup.keys()])
       if (view.get(key) === undefined) this.applyGroup({ key, value: undefined, version: 0 }, now);
   }
 
-  /** Adds and updates the machines of a group that is this shard's, and returns their hosts. */
+  /** Adds and updates the machines of a group if it belongs to this shard, and returns their hosts. */
   private applyHosts(key: string, group: MachineGroup | null, now: number): ReadonlySet<string> {
     if (group?.shard !== this.dependencies.shard) {
       this.hostsByGroup.delete(key);
@@ -86,7 +87,7 @@
     return hosts;
   }
 
-  /** Removes the machines that the group has no more, unless another group has taken them over. */
+  /** Removes the machines that are no longer in the group, unless they are now in another group. */
   private removeFormerHosts(
     key: string,
     formerHosts: ReadonlySet<string>,
@@ -99,7 +100,7 @@
 
   private createMachine(host: string, record: MachineRecord, now: number): Machine {
     const machine = new Machine(host, record, now);
-    // Guards against late copies from an earlier stay in this shard: they are no newer than what was seen then.
+    // Delayed duplicates of heartbeats from an earlier time in this shard must not count as new.
     const last = this.removed.get(host);
     if (last !== undefined) {
       machine.epoch = last.epoch;
@@ -108,7 +109,10 @@
     return machine;
   }
 
-  /** A machine's record goes only after the cloud's 200 to its return, or when it is transferred empty. */
+  /**
+   * Removes a machine. Its record is removed only after the cloud has answered its return with 200, or when the machine
+   * is transferred while empty.
+   */
   private remove(host: string, now: number): void {
     const machine = this.byHost.get(host);
     if (machine === undefined) return;
--- a/src/shards/owner-term.ts
+++ b/src/shards/owner-term.ts
@@ -1,12 +1,12 @@
-/** The term of one shard's owner: whether it may act for the shard now, and with which fencing token. */
+/** The term of one shard's owner: whether the owner may act for the shard now, and with which fencing token. */
 import type { Shard } from "./shard.js";
 import type { ShardOwnerCallbacks } from "./shard-owner-messages.js";
 
-/** What the parts of an owner need to know of its term. */
+/** The term of an owner, as its modules see it. */
 export interface OwnerTerm {
-  /** The shard's fencing token; null if the owner may not act for the shard now. */
+  /** Returns the shard's fencing token; null if the owner may not act for the shard now. */
   currentToken(): number | null;
-  /** Whether another owner has taken over: nothing that was begun in this term is retried any more. */
+  /** Whether another owner has taken over: operations begun in this term are not retried any more. */
   hasEnded(): boolean;
 }
 
@@ -31,12 +31,12 @@
     return this.ended;
   }
 
-  /** Ends the term: the shard has another owner. */
+  /** Ends the term because the shard has another owner. */
   end(): void {
     this.ended = true;
   }
 
-  /** Tells the shard if the token has been advanced within the term. */
+  /** Passes a new token of this term to the shard and restarts its attempt numbers. */
   updateToken(token: number): void {
     if (token === this.lastToken) return;
     this.lastToken = token;
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -1,4 +1,4 @@
-/** Decides on every lease renewal, counts the outcomes, and logs those that matter. */
+/** Approves or refuses every lease renewal, counts the outcomes, and logs the significant ones. */
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
@@ -13,20 +13,20 @@
 } from "../workers/lease-renewal.js";
 import type { DecisionMetrics } from "./decision-metrics.js";
 
-/** The durations that the renewal guard goes by. */
+/** Limits of the renewal guard, in milliseconds. */
 export interface RenewalGuardTimings {
-  /** The age of a shard's view from which on no lease may be renewed on it. */
+  /** A shard whose view of the records is this old or older renews no lease. */
   maxViewAgeMs: number;
-  /** The least time between two log lines about refusals. */
+  /** Minimum time between two log lines about renewals rejected as violations. */
   minIntervalMs: number;
 }
 
-/** Reasons that concern one machine or one heartbeat: they are counted, and not logged one by one. */
+/** Refusals that concern a single machine or heartbeat: counted, but not logged individually. */
 const ROUTINE_REFUSALS: ReadonlySet<RenewalRefusal> = new Set(["newer_token", "report_not_newer"]);
 
-/** All lease renewals of one shard's owner pass through its guard. */
+/** Checks all lease renewals of one shard's owner. */
 export class RenewalGuard {
-  /** The reason of the last refusal that concerned the whole shard; null while it renews leases. */
+  /** Reason of the last refusal that concerned the whole shard; null while the shard renews leases. */
   private lastShardRefusal: RenewalRefusal | null = null;
   private lastViolationLogAt = -Infinity;
 
@@ -38,7 +38,10 @@
     private readonly log: Logger,
   ) {}
 
-  /** Whether a heartbeat may be answered with a renewal at all; `viewAgeMs` is the age of the shard's own view. */
+  /**
+   * Decides, before a heartbeat is reconciled, whether its response may renew the worker's lease. `viewAgeMs` is the
+   * age of the shard's own view of the records.
+   */
   checkPermission(authority: ShardAuthority, workerToken: number, viewAgeMs: number): RenewalPermission {
     const { maxViewAgeMs } = this.timings;
     const permission = decideRenewalPermission({
@@ -53,12 +56,14 @@
     return permission;
   }
 
-  /** The heartbeat was not newer than the last one, or not of a machine of this shard. */
+  /**
+   * Counts a heartbeat that was not newer than the last one from its machine, or whose machine is not in this shard.
+   */
   recordIgnoredHeartbeat(): void {
     this.metrics.recordRefusal("report_not_newer");
   }
 
-  /** The renewal that may be sent; null if it would break a rule. */
+  /** Returns the renewal to send, or null if the response would keep or start a task of an ended job. */
   decideRenewal(
     permission: Extract<RenewalPermission, { allowed: true }>,
     heartbeat: Heartbeat,
@@ -75,7 +80,7 @@
     return null;
   }
 
-  /** One line when the shard stops renewing leases and one when it goes on, with the evidence. */
+  /** Logs when the shard stops or resumes renewing leases, or when the reason changes, with the evidence. */
   private logRefusalChange(
     reason: RenewalRefusal | null,
     authority: ShardAuthority,
@@ -90,12 +95,15 @@
       viewAgeMs: Math.round(authority.viewAgeMs),
       copyAgeMs: Math.round(viewAgeMs),
     };
-    if (reason === null) this.log.info(evidence, "heartbeats answered");
-    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "heartbeats refused");
-    else this.log.info({ ...evidence, reason }, "heartbeats refused");
+    if (reason === null) this.log.info(evidence, "lease renewals resumed");
+    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "lease renewals refused");
+    else this.log.info({ ...evidence, reason }, "lease renewals refused");
   }
 
-  /** At most one line in `minIntervalMs`: a fault may concern every machine of a large shard. The metrics count them all. */
+  /**
+   * Logs at most one line per `minIntervalMs`, since a fault may affect every machine of a large shard. The metrics
+   * count every violation.
+   */
   private logViolation(rejected: RejectedRenewal, heartbeat: Heartbeat, permission: RenewalPermission): void {
     const now = this.clock();
     if (now - this.lastViolationLogAt < this.timings.minIntervalMs) return;
--- a/src/shards/shard-owner-messages.ts
+++ b/src/shards/shard-owner-messages.ts
@@ -1,4 +1,4 @@
-/** The messages to a shard owner, its callbacks into the rest of the process, and its timings. */
+/** Messages to a shard owner, its callbacks into the rest of the process, and its timings. */
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { Demand, ShardSummary } from "../peers/peer-messages.js";
 import type { Heartbeat, RecordChange } from "../wire/index.js";
@@ -7,25 +7,31 @@
 /** The owner's response to a worker's heartbeat. */
 export type HeartbeatResponse =
   | { kind: "commands"; renewal: LeaseRenewal }
-  /** The owner may not renew the lease, or the heartbeat is not newer: the worker should try elsewhere or again. */
+  /** The owner may not renew the lease, or the heartbeat is not newer: the worker should retry or try another node. */
   | { kind: "refused" };
 
-/** How many tasks of a job are done and running, as its shard's owner knows; `known` is false for a job it does not have. */
+/**
+ * Number of completed and running tasks of a job, as known to its shard's owner; `known` is false if the owner does not
+ * have the job.
+ */
 export interface TaskCounts {
   known: boolean;
   done: number;
   running: number;
 }
 
-/** The messages to a shard owner. */
+/** Messages to a shard owner. */
 export type ShardOwnerMessage =
-  /** Changed records (null: all may be different), and the steady time up to which they are known to be complete. */
+  /**
+   * Changed records (null: any record may have changed), and the steady time up to which the records are known to be
+   * complete.
+   */
   | { kind: "records_changed"; changes: RecordChange[] | null; completeAsOf: number }
   | { kind: "heartbeat"; heartbeat: Heartbeat; reply: (response: HeartbeatResponse) => void }
   | { kind: "tick" }
-  /** A write of completed tasks has ended, successfully or not. */
+  /** A write of completed tasks has succeeded or failed. */
   | { kind: "completions_written" }
-  /** A write of which machines have reported has ended, successfully or not. */
+  /** A write that records which machines have reported has succeeded or failed. */
   | { kind: "machines_recorded" }
   | { kind: "task_counts"; job: string; reply: (counts: TaskCounts) => void }
   | { kind: "drain_machines"; hosts: string[]; reply: (hosts: string[]) => void }
@@ -34,7 +40,7 @@
   | { kind: "cordon_machine"; targetShard: number; demand: Demand }
   | { kind: "transfer_machines"; targetShard: number; hosts: string[]; reply: (hosts: string[]) => void };
 
-/** What a shard owner needs of the rest of the process. */
+/** Callbacks of a shard owner into the rest of the process. */
 export interface ShardOwnerCallbacks {
   /** Whether this process may act for the shard now. */
   authority(): ShardAuthority;
@@ -42,20 +48,20 @@
   advanceToken(): void;
   /** Sends a summary to the leader. */
   sendSummary(summary: ShardSummary): void;
-  /** Whether tasks may be started and stopped now, as far as links go. */
+  /** Whether the state of the links allows tasks to be started and stopped now. */
   canPlaceTasks(): boolean;
-  /** Whether machines may be selected for removal now, as far as links go. */
+  /** Whether the state of the links allows machines to be selected for removal now. */
   canRemoveMachines(): boolean;
 }
 
-/** The durations that a shard owner goes by. */
+/** Limits of a shard owner. */
 export interface ShardOwnerTimings {
-  /** How long a placement round may take. */
+  /** Maximum duration of a placement round, in milliseconds. */
   roundBudgetMs: number;
-  /** The least time between two summaries, and between two writes of completions. */
+  /** Minimum time between two summaries, and between two writes of progress, in milliseconds. */
   minIntervalMs: number;
-  /** The least time between two searches for tasks to preempt. */
+  /** Minimum time between two searches for tasks to preempt, in milliseconds. */
   minPreemptionIntervalMs: number;
-  /** After so many ticks without a heartbeat the shard's workers do not reach this node. */
+  /** The shard's workers count as unable to reach this node after more than this many ticks without a heartbeat. */
   maxTicksWithoutHeartbeat: number;
 }
--- a/src/shards/shard-owner.ts
+++ b/src/shards/shard-owner.ts
@@ -1,4 +1,4 @@
-/** The actor that owns one shard while this process is its owner: dispatches messages to the parts that do the work. */
+/** The actor of one shard while this process owns it: dispatches messages to the modules that handle them. */
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
@@ -17,10 +17,10 @@
 import type { Shard } from "./shard.js";
 import type { ShardOwnerCallbacks, ShardOwnerMessage, ShardOwnerTimings } from "./shard-owner-messages.js";
 
-/** Machine records and finished jobs are written so many times as often as progress and summaries. */
+/** Machine records and finished jobs are written this many times as often as progress and summaries. */
 const FREQUENT_WRITE_FACTOR = 4;
 
-/** What a shard owner is made from. */
+/** Dependencies of a shard owner. */
 export interface ShardOwnerDependencies {
   readonly shard: Shard;
   readonly timings: ShardOwnerTimings;
@@ -33,12 +33,12 @@
   readonly log: Logger;
 }
 
-/** Acts for one shard from the moment this process owns it until it is retired. */
+/** Acts for one shard from the time this process owns it until the owner is retired. */
 export class ShardOwner extends Actor<ShardOwnerMessage> {
   private lastSummaryAt = -Infinity;
   /**
-   * Ticks since a heartbeat of one of the shard's workers last came in. Counted in ticks, since a process that was
-   * suspended has received none meanwhile.
+   * Ticks since the last heartbeat from one of the shard's workers. Counted in ticks, not by the clock: a process that
+   * was suspended receives no heartbeats meanwhile, and no ticks either.
    */
   private ticksSinceHeartbeat = 0;
   private readonly shard: Shard;
@@ -90,17 +90,20 @@
     });
   }
 
-  /** The shard has another owner, or another node: nothing that this owner began is retried any more. */
+  /**
+   * Ends the term because another owner or node has the shard: operations that this owner began are not retried any
+   * more.
+   */
   retire(): void {
     this.term.end();
   }
 
-  /** Whether no worker has reported here for longer than any of them waits between two heartbeats. */
+  /** Whether no worker has reported here for longer than the time between two heartbeats of any worker. */
   get isCutOffFromWorkers(): boolean {
     return this.ticksSinceHeartbeat > this.timings.maxTicksWithoutHeartbeat;
   }
 
-  /** How many machines are expected to report here. */
+  /** Number of machines that are expected to send heartbeats to this owner. */
   get expectedHeartbeatSources(): number {
     return this.shard.expectedHeartbeatSources;
   }
--- a/src/shards/shard-parts.ts
+++ b/src/shards/shard-parts.ts
@@ -1,4 +1,4 @@
-/** Builds the parts that the state of one shard consists of. */
+/** Builds the parts of the state of one shard. */
 import type { Machine } from "../workers/machine.js";
 import type { Settings } from "../config/settings.js";
 import type { Logger } from "../runtime/log.js";
@@ -17,20 +17,20 @@
 import { SpeedTracker } from "./speed-tracker.js";
 import { TaskEviction } from "./task-eviction.js";
 
-/** What a shard is made from. */
+/** Dependencies of a shard. */
 export interface ShardDependencies {
   /** The shard's number. */
   readonly shard: number;
-  /** The fencing token with which this owner's term began. */
+  /** Fencing token at the start of this owner's term. */
   readonly termToken: number;
-  /** When this owner's term began: steady time in milliseconds. */
+  /** Start of this owner's term: steady time in milliseconds. */
   readonly termStartedAt: number;
   readonly settings: Settings;
   readonly types: () => Map<string, MachineType>;
-  /** The records from which the shard's state is read at first. */
+  /** The records from which the shard's state is initialised. */
   readonly view: ReplicaView;
   readonly log: Logger;
-  /** Metrics of its own by default. */
+  /** A new instance by default. */
   readonly metrics?: DecisionMetrics;
 }
 
@@ -38,7 +38,7 @@
 export interface ShardParts {
   readonly jobs: JobTable;
   readonly machines: MachineTable;
-  /** What is reserved of teams' quotas for jobs that were migrated to other shards. */
+  /** Team quota that is reserved for jobs that were migrated to other shards. */
   readonly quotaReservations: QuotaReservations;
   readonly records: ShardRecords;
   readonly heartbeats: HeartbeatHandler;
@@ -49,7 +49,7 @@
   readonly cordons: Cordons;
 }
 
-/** Builds the parts, which hold no jobs and machines before the first `ShardRecords.sync`. */
+/** Builds the parts. They contain no jobs and machines before the first `ShardRecords.sync`. */
 export function createShardParts(dependencies: ShardDependencies): ShardParts {
   const { shard, settings, log } = dependencies;
   const { metrics = new DecisionMetrics() } = dependencies;
@@ -85,7 +85,10 @@
   };
 }
 
-/** A worker's lease, with the drift of both clocks and what may pass between a heartbeat and its response. */
+/**
+ * Upper bound of a worker's lease: includes the drift of both clocks and the delay between a heartbeat and its
+ * response.
+ */
 function longestLeaseMs(settings: Settings): number {
   const { leaseMs, heartbeatIntervalMs } = settings.workers;
   return leaseMs * (1 + 2 * CLOCK_DRIFT) + heartbeatIntervalMs / 4;
--- a/src/shards/shard-records.ts
+++ b/src/shards/shard-records.ts
@@ -7,7 +7,7 @@
 import type { MachineTable } from "./machine-table.js";
 import type { QuotaReservations } from "./quota-reservations.js";
 
-/** What the records of one shard are applied to. */
+/** The state of one shard to which its records are applied. */
 export interface ShardRecordsDependencies {
   readonly shard: number;
   readonly jobs: JobTable;
@@ -15,9 +15,9 @@
   readonly quotaReservations: QuotaReservations;
 }
 
-/** Applies changed records to the state of one shard, and knows up to when that state is complete. */
+/** Applies changed records to the state of one shard, and tracks up to which time that state is complete. */
 export class ShardRecords {
-  /** Whether the last change was applied completely. */
+  /** Whether the last change was applied in full. */
   private synchronized = false;
   private readonly quotaPrefix: string;
 
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Steady time in milliseconds up to which the shard's state is known to be complete. Guards against a change that
-   * could not be applied: until all records have been read anew, nothing that is known here counts, however new the
+   * Steady time in milliseconds up to which the shard's state is known to be complete. After a change that could not be
+   * applied it is -Infinity until all records have been read again: the state may lack that change, however recent the
    * process's replica is.
    */
   get viewCompleteAsOf(): number {
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Applies changes (null: everything may be different) after which the state is complete up to `asOf`, steady time in
-   * milliseconds. After a change that could not be applied, all records are read anew instead.
+   * Applies changes, after which the state is complete up to `asOf`, steady time in milliseconds. If `changes` is null,
+   * or the previous change could not be applied, all records are read again instead.
    *
    * @throws Error whatever a record that cannot be applied causes.
    */
@@ -48,7 +48,10 @@
     this.dependencies.jobs.completeAsOf = asOf;
   }
 
-  /** Ends what the records do not contain any more, and returns all records as changes; machines are applied already. */
+  /**
+   * Ends jobs and removes machines that the records no longer contain, and returns all records as changes. Machine
+   * groups are already applied before that removal.
+   */
   private readAll(view: ReplicaView, now: number): RecordChange[] {
     const { jobs, machines } = this.dependencies;
     jobs.endMissing(view, now);
@@ -87,7 +90,10 @@
     this.dependencies.quotaReservations.reserve(key.slice(this.quotaPrefix.length), reservation);
   }
 
-  /** Another shard writes a job as done only once none of its tasks runs: nothing need be reserved for it any more. */
+  /**
+   * Releases the quota reservation of a migrated job. The other shard writes a job as done only once none of its tasks
+   * is running, so nothing needs to be reserved for it any more.
+   */
   private applyEndedJob({ key, value }: RecordChange): void {
     const { shard, jobs, quotaReservations } = this.dependencies;
     const id = key.slice(prefixes.endedJobs.length);
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -1,13 +1,13 @@
 /**
- * One shard as its owner sees it. Records and heartbeats come in with the time; commands, writes and summaries go out;
- * nothing here waits or makes a call. Each concern has a module of its own, and this one connects them:
+ * The state of one shard, as its owner knows it. Records and heartbeats come in with the current time; commands, writes
+ * and summaries go out. Nothing in this state waits or performs I/O. This module connects the modules for each concern:
  *
- * - `shard-parts.ts`: how the parts are built
+ * - `shard-parts.ts`: construction of the parts
  * - `shard-records.ts`, `job-table.ts`, `machine-table.ts`: the state, kept in step with the records
- * - `heartbeat-handler.ts`, `lease-expiry.ts`: what heartbeats and their absence prove
+ * - `heartbeat-handler.ts`, `lease-expiry.ts`: conclusions from heartbeats and from their absence
  * - `placement-scheduler.ts`, `task-eviction.ts`: which tasks start and stop
- * - `removal-candidates.ts`, `cordons.ts`, `migration-preparation.ts`: what may go to other shards or to the cloud
- * - `completion-log.ts`: what is to be written of completed tasks
+ * - `removal-candidates.ts`, `cordons.ts`, `migration-preparation.ts`: what may go to other shards or back to the cloud
+ * - `completion-log.ts`: completed tasks to be written
  */
 import { type Job, isLive } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
@@ -30,7 +30,10 @@
 import type { TaskCounts } from "./shard-owner-messages.js";
 import { createShardParts, type ShardDependencies, type ShardParts } from "./shard-parts.js";
 
-/** One shard's jobs, machines and placements, and all decisions about them. Instants are steady times in milliseconds. */
+/**
+ * The jobs, machines and placements of one shard, and all decisions about them. Instants are steady times in
+ * milliseconds.
+ */
 export class Shard {
   /** The shard's number. */
   readonly id: number;
@@ -40,7 +43,7 @@
     this.id = dependencies.shard;
     this.parts = createShardParts(dependencies);
     this.sync(dependencies.view, null, dependencies.termStartedAt);
-    // A machine that has never reported to an owner has never been sent a start.
+    // A machine that has never reported to any owner has never been sent a start command.
     for (const machine of this.machines.values()) machine.unreconciled = machine.record.hasReported;
   }
 
@@ -54,47 +57,47 @@
     return this.parts.machines.byHost;
   }
 
-  /** How many machines are expected to report, as of the last check for expired leases. */
+  /** Number of machines that are expected to send heartbeats, as of the last check for expired leases. */
   get expectedHeartbeatSources(): number {
     return this.parts.leases.expectedHeartbeatSources;
   }
 
-  /** Up to when the shard's state is known to be complete; -Infinity after a change that could not be applied. */
+  /** Time up to which the shard's state is known to be complete; -Infinity after a change that could not be applied. */
   get viewCompleteAsOf(): number {
     return this.parts.records.viewCompleteAsOf;
   }
 
-  /** Whether everything that an earlier owner may have left running has been reported, or has surely ended. */
+  /** Whether every task that an earlier owner may have left running has been reported or has certainly ended. */
   get isRecovered(): boolean {
     return this.parts.machines.isReconciled;
   }
 
-  /** Applies changed records (null: everything may be different), after which the state is complete up to `asOf`. */
+  /** Applies changed records; null re-reads all of them. Afterwards the state is complete up to `asOf`. */
   sync(view: ReplicaView, changes: RecordChange[] | null, now: number, asOf = view.completeAsOf): void {
     this.parts.records.sync(view, changes, now, asOf);
   }
 
-  /** This owner has advanced the shard's token itself: workers that show the new one follow this owner as well. */
+  /** Adds a token to which this owner advanced the shard: workers that report it follow this owner as well. */
   addTermToken(token: number): void {
     this.parts.heartbeats.addTermToken(token);
   }
 
-  /** Whether the records, as they are known here, still have a job. */
+  /** Whether the records, as known here, still contain a job. */
   isLiveJob(id: string): boolean {
     return isLive(this.jobs.get(id));
   }
 
-  /** A job's cancellation is durable, whether or not the watch has shown it yet. */
+  /** Ends a job whose cancellation is durable, whether or not the watch has delivered it yet. */
   cancelJob(id: string, now: number): void {
     this.parts.jobs.cancelJob(id, now);
   }
 
-  /** Takes in a heartbeat and returns the commands for the response; null for one that is not to be answered. */
+  /** Applies a heartbeat and returns the commands for the response; null for a heartbeat that must not be answered. */
   reconcileHeartbeat(heartbeat: Heartbeat, now: number): WorkerCommand[] | null {
     return this.parts.heartbeats.reconcile(heartbeat, now);
   }
 
-  /** Ends what has surely expired by now. */
+  /** Expires worker leases, cordons, quota reservations and remembered failures that are past their time. */
   expire(now: number): void {
     const { leases, cordons, quotaReservations, jobs, failures } = this.parts;
     leases.expire(now);
@@ -105,22 +108,22 @@
     jobs.removeEndedWithoutTasks(now);
   }
 
-  /** Whether a heartbeat should lead to a full placement round. */
+  /** Whether the next heartbeat should trigger a full placement round. */
   get needsFullRound(): boolean {
     return this.parts.scheduler.needsFullRound;
   }
 
-  /** A full placement round until `deadline`; starts go out with the machines' next responses. */
+  /** Runs a full placement round until `deadline`; start commands go out with the next responses to the machines. */
   place(token: number, now: number, clock: SteadyClock, deadline: number): number {
     return this.parts.scheduler.place(token, now, clock, deadline);
   }
 
-  /** Offers the free capacity of a machine that has just reported to the waiting jobs. */
+  /** Places waiting jobs on the free capacity of a machine that has just reported. */
   placeOnMachine(host: string, token: number, now: number): number {
     return this.parts.scheduler.placeOnMachine(host, token, now);
   }
 
-  /** The commands for what was placed on a machine since its heartbeat was reconciled. */
+  /** Returns the start commands for what was placed on a machine since its heartbeat was reconciled. */
   startCommands(host: string): WorkerCommand[] {
     return this.parts.scheduler.startCommands(host);
   }
@@ -130,55 +133,55 @@
     return this.parts.scheduler.attempts.isNearlyExhausted;
   }
 
-  /** The owner has a new token, with new attempt numbers. */
+  /** Restarts the attempt numbers for a new token. */
   resetAttempts(): void {
     this.parts.scheduler.attempts.reset();
   }
 
-  /** Stops less urgent tasks where that frees capacity for more urgent ones in time. */
+  /** Preempts less urgent tasks where that frees capacity for more urgent ones in time. */
   preempt(now: number, clock: SteadyClock, deadline: number): void {
     this.parts.eviction.preempt(this.parts.scheduler.placementInput(now), clock, deadline);
   }
 
-  /** Stops the tasks that can save before the cloud takes their machine. */
+  /** Stops tasks that can save a checkpoint before the cloud takes their machine. */
   drainInterrupted(): void {
     this.parts.eviction.drainInterrupted(this.machines.values());
   }
 
-  /** Jobs whose last task has completed, to be written with at most so many writes. */
+  /** Builds completions for jobs whose last task has completed, with at most `maxWrites` writes. */
   finishedJobs(maxWrites: number): Completion[] {
     return this.parts.jobs.completions.finishedJobs(maxWrites, (job) => this.canComplete(job));
   }
 
   /**
-   * Guards the quota that another shard enforces for a job: that shard counts the job until it is written as done, so
-   * that by then no attempt of it may run any more, not even one whose task another attempt has completed.
+   * Whether a job may be written as done. Another shard may enforce its quota and counts the job until it is written as
+   * done, so no attempt of it may still be running by then, not even one whose task was completed by another attempt.
    */
   private canComplete(job: Job): boolean {
     return job.maxParallelTasks === Infinity || (job.active.size === 0 && this.isRecovered);
   }
 
-  /** Completed tasks of jobs that go on, to be written with at most so many writes. */
+  /** Builds completions for the progress of unfinished jobs, with at most `maxWrites` writes. */
   taskProgress(maxWrites: number): Completion[] {
     return this.parts.jobs.completions.taskProgress(maxWrites);
   }
 
-  /** The machines that have reported while their records do not show it yet. */
+  /** Returns the hosts that have reported but whose records do not show it yet. */
   unrecordedHosts(): string[] {
     return findUnrecordedHosts(this.machines.values());
   }
 
-  /** Selects those of the hosts that may be removed; nothing is placed on them from now on. */
+  /** Selects the hosts that may be removed and stops further placement on them. */
   beginRemoval(hosts: string[], reason: RemovalReason): string[] {
     return beginRemoval(this.machines, hosts, reason);
   }
 
-  /** The machines are not removed after all. */
+  /** Cancels the removal of machines, so that tasks can be placed on them again. */
   cancelRemoval(hosts: string[]): void {
     cancelRemoval(this.machines, hosts);
   }
 
-  /** Cordons a machine that suits the demand of a shard without machines. */
+  /** Cordons a machine that fits the demand of a shard without machines. */
   cordon(targetShard: number, demand: Demand, now: number): void {
     this.parts.cordons.cordon(targetShard, demand, this.parts.scheduler.placementInput(now));
   }
@@ -190,24 +193,24 @@
     return job === undefined ? null : beginMigration(job, input, this.parts.quotaReservations);
   }
 
-  /** The job has surely not been migrated. */
+  /** Cancels a migration that certainly was not committed. */
   cancelMigration(job: Job): void {
     cancelMigration(job, this.parts.quotaReservations);
   }
 
-  /** How many processors are in use by tasks in which state, for operators. */
+  /** Number of CPUs in use by task state, for operators. */
   cpusByTaskState(): Record<Placement["state"], number> {
     return cpusByTaskState(this.machines.values());
   }
 
-  /** How many tasks of a job are done and running. */
+  /** Number of completed and running tasks of a job. */
   taskCounts(id: string): TaskCounts {
     const job = this.jobs.get(id);
     if (job === undefined) return { known: false, done: 0, running: 0 };
     return { known: true, done: job.done.count, running: job.runningCount };
   }
 
-  /** What the leader is sent of this shard. */
+  /** Builds the summary of this shard that is sent to the leader. */
   summary(token: number, now: number): ShardSummary {
     const input = this.parts.scheduler.placementInput(now);
     return {
--- a/src/shards/speed-tracker.ts
+++ b/src/shards/speed-tracker.ts
@@ -1,36 +1,45 @@
-/** Measured run times: of classes relative to their estimates, of machines relative to other tasks of the same jobs. */
+/**
+ * Measures run times: of job classes relative to their estimates, and of machines relative to other tasks of the same
+ * jobs.
+ */
 import type { Logger } from "../runtime/log.js";
 import type { Job } from "../workers/job.js";
 import type { Machine } from "../workers/machine.js";
 import type { Placement } from "../workers/placement.js";
 
-/** The weight of one more task in the moving average of a class's run times. */
+/** Weight of a new task in the moving average of a class's run times. */
 const CLASS_AVERAGE_WEIGHT = 0.1;
-/** The weight of one more task in the moving average of a machine's run times. */
+/** Weight of a new task in the moving average of a machine's run times. */
 const MACHINE_AVERAGE_WEIGHT = 0.25;
-/** After so many completed tasks a job's mean run time is taken as usual. */
+/** Number of completed tasks from which a job's mean run time is used for comparison. */
 const MIN_TASKS_OF_JOB = 3;
-/** After so many compared tasks a machine may count as slow. */
+/** Number of compared tasks from which a machine may count as slow. */
 const MIN_TASKS_OF_MACHINE = 4;
-/** Machines of a type differ by a tenth, and so do tasks of a job: a machine that takes so many times as long is slow. */
+/**
+ * A machine counts as slow if its tasks take more than this many times the mean. Machines of a type differ by a tenth,
+ * and so do tasks of a job.
+ */
 const SLOW_RATIO = 1.6;
 
-/** Learns from completed tasks; a slow machine is marked, and unmarked once its tasks take the usual time again. */
+/**
+ * Tracks the run times of completed tasks. Marks slow machines, and unmarks them once their tasks take the usual time
+ * again.
+ */
 export class SpeedTracker {
-  /** Measured run time by estimated run time, by class. */
+  /** Ratio of measured to estimated run time, by class. */
   private readonly runtimeRatios = new Map<string, number>();
 
   constructor(private readonly log: Logger) {}
 
-  /** How long tasks of a class run for each second of their estimate; 1 before any has completed. */
+  /** Seconds that tasks of a class run per second of their estimate; 1 before any has completed. */
   runtimeRatio(className: string): number {
     return this.runtimeRatios.get(className) ?? 1;
   }
 
-  /** A task has completed; `now` is steady time in milliseconds. */
+  /** Records a completed task; `now` is steady time in milliseconds. */
   recordFinished({ job, machine, state, stateSince, resumed }: Placement, now: number): void {
     const { className, estimateS, checkpointS } = job.spec;
-    // A task that checkpoints may have resumed where it was stopped: its run time says little then.
+    // A task that checkpoints may have resumed from a checkpoint, so its run time is not comparable.
     if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && resumed)) return;
     const runMs = now - stateSince;
     const measured = runMs / 1000 / estimateS;
@@ -39,7 +48,7 @@
     this.updateMachineSpeed(job, machine, runMs);
   }
 
-  /** Estimates differ from job to job, so that machines are compared by tasks of the same job only. */
+  /** Compares machines only by tasks of the same job, since the accuracy of estimates differs from job to job. */
   private updateMachineSpeed(job: Job, machine: Machine, runMs: number): void {
     const { completedRuns: runs } = job;
     const meanMs = runs.count < MIN_TASKS_OF_JOB ? 0 : runs.totalMs / runs.count;
@@ -52,6 +61,6 @@
     if (slow === machine.slow) return;
     machine.slow = slow;
     const { host, relativeRunTime: relativeRun } = machine;
-    this.log.info({ host, relativeRun }, slow ? "machine marked slow" : "machine not slow any more");
+    this.log.info({ host, relativeRun }, slow ? "machine marked slow" : "machine no longer slow");
   }
 }
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -153,8 +153,8 @@
   assert.deepEqual(
     lines.map(({ msg, reason }) => [msg, reason]),
     [
-      ["heartbeats refused", "view_too_old"],
-      ["heartbeats answered", undefined],
+      ["lease renewals refused", "view_too_old"],
+      ["lease renewals resumed", undefined],
     ],
   );
 });
