--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -1,6 +1,6 @@
 /**
- * No answer renews a worker's lease without a right to act, on records that may lack a cancellation, or without the stop of
- * a task that is known to be over: each violation is brought about, and refused, counted and logged.
+ * A response must not renew a worker's lease without authority over the shard, on a view of the records that may lack a
+ * cancellation, or without stopping the tasks of jobs known to have ended. Each case must be refused, counted and logged.
  */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
@@ -54,7 +54,7 @@
 
 const isLive = (job: string): boolean => job === "live";
 
-test("the authority for a shard ends with the lease, the age of the replica, the join and the shard's record", () => {
+test("authority over a shard requires ownership, a valid lease, no hand-over, and a recent replica that shows the join", () => {
   const evidence = {
     token: 7,
     handingOver: false,
@@ -76,7 +76,7 @@
 });
 
 void describe("workers/lease-renewal", () => {
-  test("a heartbeat is answered only with authority, by the worker's latest owner, on a current view of the records", () => {
+  test("a lease is renewed only with authority, by the owner with the worker's highest token, on a current view", () => {
     const evidence: RenewalEvidence = {
       authority: held,
       workerToken: 7,
@@ -94,7 +94,7 @@
     assert.equal(reasonOf({ shardViewAgeMs: STALE_MS }), "shard_behind_view");
   });
 
-  test("a response stops tasks of ended jobs at once, and starts none of them", () => {
+  test("a renewal must stop all tasks of ended jobs without a grace period and must not start any", () => {
     const decide = (tasks: TaskStatus[], commands: WorkerCommand[]): string => {
       const renewal = LeaseRenewal.decide(7, heartbeat(...tasks), commands, isLive);
       return renewal instanceof LeaseRenewal ? "renewed" : `${renewal.reason} ${renewal.task}`;
@@ -110,7 +110,7 @@
   });
 });
 
-test("a violation is refused, counted, and logged with its evidence once a spacing", () => {
+test("violations are refused and counted each time, and logged at most once per interval", () => {
   const { lines, log } = collectedLog();
   const metrics = new DecisionMetrics();
   let now = 0;
@@ -137,7 +137,7 @@
   );
 });
 
-test("a shard that stops answering says so once, with the reason, and once when it goes on", () => {
+test("a shard logs once, with the reason, when it stops renewing leases, and once when it resumes", () => {
   const { lines, log } = collectedLog();
   const guard = new RenewalGuard(
     0,
@@ -159,9 +159,9 @@
   );
 });
 
-// Fails if a shard goes on with what it has after a change that it could not take in: a cancellation in the same batch is
-// lost then, while the process's copy of the records is new.
-test("a shard that could not take in a change counts as behind until it has read everything anew", () => {
+// Guards against a shard that keeps using its state after a change that it could not apply: a cancellation in the same
+// batch would be lost although the process's replica is up to date.
+test("a shard that could not apply a change counts as behind until it has read all records again", () => {
   const view = new FakeView();
   view.put(keys.job("req-1"), { spec: jobSpec("req-1"), shard: 0, acceptedAt: 1 }, 1);
   const shard = newShard({ shard: 0, termToken: 2, view });
@@ -171,21 +171,21 @@
     key: keys.machineGroup("g-1"),
     version: 4,
     get value(): unknown {
-      throw new Error("a change that cannot be taken in");
+      throw new Error("a change that cannot be applied");
     },
   };
   assert.throws(() => {
     shard.sync(view, [unreadable, removal], 1000, 1000);
   });
   assert.equal(shard.viewCompleteAsOf, -Infinity);
-  assert.equal(shard.isLiveJob("req-1"), true, "the cancellation behind it was not taken in");
+  assert.equal(shard.isLiveJob("req-1"), true, "the cancellation after it was not applied");
   shard.sync(view, [], 2000, 2000);
   assert.equal(shard.viewCompleteAsOf, 2000);
-  assert.equal(shard.isLiveJob("req-1"), false, "all has been read anew");
+  assert.equal(shard.isLiveJob("req-1"), false, "all records have been read again");
 });
 
 void describe("workers/worker-commands", () => {
-  test("stops come before other commands in a response that cannot hold them all", () => {
+  test("stop commands come first in a response that cannot hold all commands", () => {
     const commands: WorkerCommand[] = [];
     for (let i = 0; i < 400; i++) commands.push(start("live"));
     commands.push(stop("over"));
--- a/test/reports.test.ts
+++ b/test/reports.test.ts
@@ -1,4 +1,4 @@
-/** Heartbeats over kept connections, and all other requests on the same connections. */
+/** Heartbeats and other requests on persistent HTTP connections. */
 import assert from "node:assert/strict";
 import { once } from "node:events";
 import { createServer, type Server } from "node:http";
@@ -29,16 +29,16 @@
 
 interface TestServer {
   server: Server;
-  /** How many requests the HTTP server has received. */
+  /** Number of requests that the HTTP server has received. */
   httpRequests: () => number;
   openConnection: () => Promise<Socket>;
 }
 
-/** The HTTP interface of a controller that answers every heartbeat with its host's name. */
-async function startServer(context: TestContext, answersAfter = Promise.resolve()): Promise<TestServer> {
+/** Starts the HTTP interface of a controller that answers each heartbeat with the name of its host. */
+async function startServer(context: TestContext, responseGate = Promise.resolve()): Promise<TestServer> {
   const dependencies = httpDependencies({
     routeHeartbeat: async ({ host }) => {
-      await answersAfter;
+      await responseGate;
       return { kind: "commands", body: { baton: 3, to: host } };
     },
   });
@@ -76,7 +76,7 @@
 
 const RESPONSE_HEAD = /^HTTP\/1\.1 (\d+) [^]*?content-length: (\d+)[^]*?\r\n\r\n/i;
 
-/** The next response that is received whole: its status and JSON body. */
+/** Resolves with the status and JSON body of the next complete response. */
 function nextResponse(socket: Socket): Promise<ReceivedResponse> {
   return new Promise((resolve) => {
     let text = "";
@@ -94,7 +94,7 @@
 const ANSWERED = { status: 200, body: { baton: 3, to: "i-1" } };
 
 void describe("http/heartbeat-endpoint: heartbeats", () => {
-  test("heartbeats on a kept connection are answered without the HTTP server, however their bytes are split", async (context) => {
+  test("heartbeats on a persistent connection bypass the HTTP server, however their bytes are split", async (context) => {
     const { openConnection, httpRequests } = await startServer(context);
     const socket = await openConnection();
     socket.write(post(BODY));
@@ -111,7 +111,7 @@
     socket.destroy();
   });
 
-  test("requests that are sent while a heartbeat is answered wait outside the process, and are answered in turn", async (context) => {
+  test("requests sent while a heartbeat is being answered are not read into memory, and are answered in order", async (context) => {
     let release = (): void => undefined;
     const { server, openConnection } = await startServer(
       context,
@@ -125,14 +125,14 @@
     const heartbeat = post(BODY);
     socket.write(heartbeat);
     while (serverSide.bytesRead < heartbeat.length) await new Promise((resolve) => setImmediate(resolve));
-    // Far more than a connection's buffers hold.
+    // Far more data than the buffers of a connection hold.
     const copies = 100_000;
     socket.write(heartbeat.repeat(copies));
     while (!serverSide.isPaused()) await new Promise((resolve) => setImmediate(resolve));
     const readWhileHeld = serverSide.bytesRead;
     assert.ok(readWhileHeld < (heartbeat.length * copies) / 10, `${readWhileHeld} bytes read`);
     release();
-    // Whole responses: each ends with the same body, and a chunk need not end with one of them.
+    // Counts complete responses by their identical bodies, since a chunk may end within a response.
     let text = "";
     for await (const chunk of socket) {
       text += String(chunk);
@@ -143,7 +143,7 @@
 });
 
 void describe("http/heartbeat-endpoint: other requests", () => {
-  test("another request on the same connection is passed to the HTTP server, and so are all that follow", async (context) => {
+  test("another request on the same connection is passed to the HTTP server, as are all following requests", async (context) => {
     const { openConnection, httpRequests } = await startServer(context);
     const socket = await openConnection();
     socket.write(post(BODY));
@@ -156,7 +156,7 @@
     socket.destroy();
   });
 
-  test("an unusual heartbeat is passed to the HTTP server, which answers it in full", async (context) => {
+  test("a heartbeat with unusual framing or headers is passed to the HTTP server", async (context) => {
     const { openConnection, httpRequests } = await startServer(context);
     const chunked = `POST /agent/beat HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n${BODY.length.toString(16)}\r\n${BODY}\r\n0\r\n\r\n`;
     const expected: [request: string, status: number][] = [
@@ -176,13 +176,13 @@
       assert.equal(receivedStatus, String(status), request.slice(0, 120));
       socket.destroy();
     }
-    // The one with two lengths is refused before it becomes a request.
+    // The HTTP parser rejects the request with two Content-Length headers before it reaches the handler.
     assert.equal(httpRequests(), expected.length - 1);
   });
 });
 
 void describe("http/heartbeat-request", () => {
-  test("an incomplete heartbeat is waited for, but never without bound", () => {
+  test("an incomplete heartbeat waits for more data, but its size is bounded", () => {
     const whole = Buffer.from(post(BODY));
     for (let end = 0; end < whole.byteLength; end++)
       assert.equal(readHeartbeatRequest(whole.subarray(0, end)).kind, "incomplete", `${end} bytes`);
--- a/test/stored-record-shapes.test.ts
+++ b/test/stored-record-shapes.test.ts
@@ -1,4 +1,4 @@
-/** The inventory of what a simulated deployment writes to the state service: kinds of keys, fields and their types. */
+/** Inventory of the keys, fields and types that a simulated deployment writes to the state service. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { parseHeartbeat } from "../src/wire/index.js";
@@ -8,27 +8,27 @@
 import { Simulation } from "./support/simulation.js";
 import { TEAMS } from "./support/workload.js";
 
-/** More tasks than share a record with other jobs. */
+/** Number of tasks too large for a page shared with other jobs. */
 const MANY_TASKS = 7000;
 
-/** A worker shows its owner a token that is higher than its shard's, as one that comes from another shard may. */
-function showHigherToken(world: Simulation): void {
+/** Sends a heartbeat with a higher token than the shard's, as from a worker that was transferred from another shard. */
+function sendHigherToken(world: Simulation): void {
   const [host] = world.cloud.machines.keys();
   const machine = { host, addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
-  const report = parseHeartbeat({ ...machine, tenure: 1, tick: 1, baton: 1_000_000, pieces: [] });
-  assert.ok(report.ok);
-  for (const { life } of world.nodes) void life!.controller.httpDependencies.routeHeartbeat(report.value);
+  const heartbeat = parseHeartbeat({ ...machine, tenure: 1, tick: 1, baton: 1_000_000, pieces: [] });
+  assert.ok(heartbeat.ok);
+  for (const { life } of world.nodes) void life!.controller.httpDependencies.routeHeartbeat(heartbeat.value);
 }
 
-/** A machine that no order of the program brought. */
-function rentByHand(world: Simulation): void {
+/** Rents a machine that the program has not ordered. */
+function rentUnorderedMachine(world: Simulation): void {
   world.cloud.capacity++;
   const rental = { hire: "by-hand", breed: "small", bank: "north", loaners: false, count: 1 };
   world.cloud.handle("POST", new URL("http://cloud/rentals"), rental);
 }
 
-/** Every kind of record comes up: optional fields of jobs, completed tasks, and an owner that does not reach the leader. */
-async function eventfulDay(world: Simulation): Promise<void> {
+/** Causes every kind of record: optional job fields, completed tasks, and an owner that cannot reach the leader. */
+async function causeEveryRecordKind(world: Simulation): Promise<void> {
   await world.run(10_000);
   await jobTransfers[0]!.play(world);
   world.cloud.capacity = 12;
@@ -37,8 +37,8 @@
   const array = world.submit("req-11", { pieces: MANY_TASKS, vcpus: 0.5, rank: "urgent" });
   await world.run(30_000);
   void world.cancel(array);
-  showHigherToken(world);
-  rentByHand(world);
+  sendHigherToken(world);
+  rentUnorderedMachine(world);
   await world.run(10_000);
   const crews = ["free", "capped", "tight"];
   const shard = crews.findIndex((_, candidate) => world.ownerOf(candidate) !== world.leader());
@@ -61,7 +61,7 @@
       if ("put" in change) inventory.add(change.put, JSON.parse(JSON.stringify(change.value)));
     };
     try {
-      await eventfulDay(world);
+      await causeEveryRecordKind(world);
     } finally {
       world.close();
     }
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -1,4 +1,4 @@
-/** The format of the records in the state service: every version of the program reads what the others have written. */
+/** Format of the records in the state service: every version of the program must read what other versions wrote. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { fromDemandRecord } from "../src/autoscaling/demand-record.js";
@@ -27,11 +27,11 @@
 
 const fixture = readFixture("stored-records") as Record<string, StoredTransaction[]>;
 
-/** The values that a scenario of the fixture puts under a key, in order. */
+/** The values that a scenario of the fixture writes to a key, in order. */
 const valuesOf = (scenario: string, key: string): unknown[] =>
   fixture[scenario]!.flatMap(({ apply }) => apply.filter(({ put }) => put === key).map(({ value }) => value));
 
-/** A view of records under the keys that the fixture has them under. */
+/** A view that contains the given records. */
 function viewOf(records: [key: string, value: unknown][]): FakeView {
   const view = new FakeView();
   records.forEach(([key, value], index) => {
@@ -53,7 +53,7 @@
 });
 
 void describe("membership/records", () => {
-  test("members, the leader and owners are read, with the id of the advance of a token", () => {
+  test("members, the leader and shard owners are read, with the id of a token advance", () => {
     const [member] = valuesOf("membership", "fernpond/live/members/node-a");
     const [leader] = valuesOf("membership", "fernpond/live/leader");
     const [, advanced] = valuesOf("membership", "fernpond/live/shards/0");
@@ -73,7 +73,7 @@
 });
 
 void describe("jobs/records", () => {
-  test("a job is read as it was submitted, with its shard and when it was accepted", () => {
+  test("a job is read with its submitted specification, its shard and its time of acceptance", () => {
     const [full] = valuesOf("jobs", "fernpond/live/jobs/req-1");
     const [plain] = valuesOf("jobs", "fernpond/live/jobs/req-2");
     const spec = specOf("req-1", FULL_SUBMISSION);
@@ -82,23 +82,23 @@
     assert.deepEqual(readJob(plain), { spec: specOf("req-2"), shard: 0, ...notMigrated });
   });
 
-  test("a job that has passed to another shard is read with its bound, and its former shard's reservation as well", () => {
-    const [passed] = valuesOf("transfer", "fernpond/live/jobs/req-1");
+  test("a migrated job is read with its limit of parallel tasks, and its former shard's quota reservation is read", () => {
+    const [migratedJob] = valuesOf("transfer", "fernpond/live/jobs/req-1");
     const spec = specOf("req-1", { crew: "capped", bank: "south" });
     const migrated = { acceptedAt: NOW, maxParallelTasks: 4, migratedIn: true };
-    assert.deepEqual(readJob(passed), { spec, shard: 0, ...migrated });
+    assert.deepEqual(readJob(migratedJob), { spec, shard: 0, ...migrated });
     const [reservation] = valuesOf("transfer", "fernpond/live/quota/1/req-1");
     assert.deepEqual(readQuotaReservation(reservation), { team: "capped", cpus: 4, gpus: 0 });
   });
 
-  test("a job that is over is read with its final stage and what was done", () => {
+  test("an ended job is read with its final stage and its number of completed tasks", () => {
     const [done] = valuesOf("completion", "fernpond/ended/req-1");
     const [cancelled] = valuesOf("jobs", "fernpond/ended/req-2");
     assert.deepEqual(readEnded(done), { stage: "done", done: 3 });
     assert.deepEqual(readEnded(cancelled), { stage: "cancelled", done: 0 });
   });
 
-  test("completed tasks are read from a page of many jobs and from a record of one large job", () => {
+  test("completed tasks are read from a page shared by many jobs and from a chunk of one large job", () => {
     const [page] = valuesOf("completion", "fernpond/live/done/1/0");
     assert.equal(countDurablyDone(viewOf([["fernpond/live/done/1/0", page]]), 1, "req-1", 3), 2);
     const [chunk] = valuesOf("completion", "fernpond/live/done/req-2/1");
@@ -110,7 +110,7 @@
 });
 
 void describe("workers/records", () => {
-  test("machines are read out of their group, with their stage", () => {
+  test("machines are read from their group's record, with their stage", () => {
     const [up, leaving] = valuesOf("machines", "fernpond/live/machines/group-1");
     const known = { shard: 0, type: "small", zone: "north", spot: true, since: NOW };
     const group = "fernpond/live/machines/group-1";
@@ -126,7 +126,7 @@
 });
 
 void describe("autoscaling", () => {
-  test("a recorded order whose answer never came is sent again under its name", async () => {
+  test("a recorded order without a response is sent again under the same name", async () => {
     const name = "fp-00000000-0000-4000-8000-000000000001";
     const key = `fernpond/live/orders/${name}`;
     const [order] = valuesOf("autoscaling", key);
@@ -135,7 +135,7 @@
     ]);
   });
 
-  test("demand that an owner has left in the records is read as the shard's", () => {
+  test("demand that an owner stored in the records is read as its shard's demand", () => {
     const [record] = valuesOf("demand", "fernpond/live/demand/1");
     const read = fromDemandRecord(1, record, []);
     const needs = { cpus: 2, gpus: 0, memoryGb: 4.5, types: ["small"], zone: "south", spot: false };
@@ -145,7 +145,7 @@
     );
   });
 
-  test("a machine type is stored as the program knows it", () => {
+  test("a machine type is stored with all its properties", () => {
     const type: MachineType = {
       name: "small",
       cpus: 4,
