--- a/src/shards/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -1,4 +1,4 @@
-/** Completed tasks of one shard until they are durable: what is to be written next, and what follows from the write. */
+/** Tracks the completed tasks of one shard until they are durable, and builds the writes that record them. */
 import { CHUNK_TASKS } from "../jobs/bitmap.js";
 import { ProgressPages } from "../jobs/progress-pages.js";
 import type { Logger } from "../runtime/log.js";
@@ -6,35 +6,38 @@
 import type { Condition, Write } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
 
-/** Completed work that is to be written, and what follows from the write. */
+/** Completed work to be written, with callbacks for the outcome of the write. */
 export interface Completion {
   conditions: Condition[];
   writes: Write[];
-  /** To be called once the writes are durable. */
+  /** Called once the writes are durable. */
   onDurable(): void;
-  /** To be called if the job's record turned out to be gone: it was cancelled first. */
-  onJobGone(): void;
-  /** The job whose record the conditions name; null where there are none. */
+  /** Called if the job's record no longer exists because the job was cancelled first. */
+  onJobRecordMissing(): void;
+  /** The job whose record the conditions check; null if there are no conditions. */
   job: string | null;
 }
 
-/** Completed tasks of one job that are written with its page. */
+/** Completed tasks of one job, written as an entry of a shared page. */
 interface PageEntry {
   job: Job;
-  /** All tasks of the job that are not durable yet; may grow while the page is being written. */
+  /** Completed tasks that are not durable yet; may grow while the page is being written. */
   indexes: Set<number>;
   written: number[];
 }
 
-const chunkOf = (index: number): number => Math.floor(index / CHUNK_TASKS);
+const chunkIndexOf = (index: number): number => Math.floor(index / CHUNK_TASKS);
 
 const isFinished = (job: Job): boolean => job.done.count === job.spec.tasks;
 
-/** Collects completed tasks and turns them into writes: the ends of jobs, and the progress of those that go on. */
+/**
+ * Collects completed tasks and turns them into writes: the completion of finished jobs, and the progress of running
+ * ones.
+ */
 export class CompletionLog {
-  /** Completed tasks, by job, that are not durable yet. */
+  /** Completed tasks that are not durable yet, by job. */
   private readonly unwritten = new Map<Job, Set<number>>();
-  /** Keys of records that are not needed any more: removed when a transaction has writes to spare. */
+  /** Keys of obsolete records, removed when a transaction has spare writes. */
   private readonly staleKeys = new Set<string>();
   private readonly progress: ProgressPages;
 
@@ -42,21 +45,24 @@
     private readonly shard: number,
     valueBytes: number,
     private readonly log: Logger,
-    /** Drops a job whose record turned out to be gone. */
-    private readonly dropJob: (id: string) => void,
+    /** Ends a job whose record no longer exists. */
+    private readonly endJob: (id: string) => void,
   ) {
     this.progress = new ProgressPages(valueBytes);
   }
 
-  /** A task of a job has completed. */
+  /** Records a completed task. */
   add(job: Job, index: number): void {
     const indexes = this.unwritten.get(job);
     if (indexes) indexes.add(index);
     else this.unwritten.set(job, new Set([index]));
   }
 
-  /** The job's record is gone: nothing more is written of it, and what was written is removed later. */
-  forget(job: Job): void {
+  /**
+   * Drops a job whose record no longer exists: nothing more is written for it, and its progress records are removed
+   * later.
+   */
+  removeJob(job: Job): void {
     const { id, tasks } = job.spec;
     this.unwritten.delete(job);
     this.progress.remove(id);
@@ -65,23 +71,28 @@
       this.staleKeys.add(keys.completedTasksChunk(id, chunk));
   }
 
-  /** A record that is not needed any more is removed when a transaction has writes to spare. */
-  removeLater(key: string): void {
+  /** Schedules an obsolete record for removal when a transaction has spare writes. */
+  scheduleRemoval(key: string): void {
     this.staleKeys.add(key);
   }
 
-  /** Applies what an earlier owner has written of a job: base64 bits of its completed tasks, on a page. */
-  load(page: number, id: string, bits: string): void {
+  /**
+   * Loads a job's entry of a page that an earlier owner has written; `bits` is its bitmap of completed tasks in base64.
+   */
+  loadPageEntry(page: number, id: string, bits: string): void {
     this.progress.load(page, { [id]: bits });
   }
 
-  /** Jobs whose last task has completed and that may be written as done, with at most so many writes. */
-  finishedJobs(maxWrites: number, mayComplete: (job: Job) => boolean): Completion[] {
+  /**
+   * Builds completions for the jobs whose last task has completed and that may be written as done, with at most
+   * `maxWrites` writes in total.
+   */
+  finishedJobs(maxWrites: number, canComplete: (job: Job) => boolean): Completion[] {
     const completions: Completion[] = [];
     let remainingWrites = maxWrites;
     for (const job of this.unwritten.keys()) {
-      if (!isFinished(job) || !mayComplete(job)) continue;
-      const completion = this.completeJob(job);
+      if (!isFinished(job) || !canComplete(job)) continue;
+      const completion = this.buildJobCompletion(job);
       if (completion.writes.length > remainingWrites) break;
       remainingWrites -= completion.writes.length;
       completions.push(completion);
@@ -89,7 +100,10 @@
     return completions;
   }
 
-  /** Completed tasks of jobs that go on, with at most so many writes; stale records are removed with the rest of them. */
+  /**
+   * Builds completions for the progress of unfinished jobs, with at most `maxWrites` writes in total; spare writes
+   * remove obsolete records.
+   */
   taskProgress(maxWrites: number): Completion[] {
     const completions: Completion[] = [];
     const pages = new Map<number, PageEntry[]>();
@@ -101,15 +115,15 @@
         continue;
       }
       if (remainingWrites < 1) continue;
-      const completion = this.completeChunks(job, indexes, remainingWrites);
+      const completion = this.buildChunkCompletion(job, indexes, remainingWrites);
       remainingWrites -= completion.writes.length;
       completions.push(completion);
     }
     const writtenPages = [...pages].slice(0, remainingWrites);
-    for (const [page, entries] of writtenPages) completions.push(this.completePage(page, entries));
+    for (const [page, entries] of writtenPages) completions.push(this.buildPageCompletion(page, entries));
     remainingWrites -= writtenPages.length;
     const stale = [...this.staleKeys].slice(0, remainingWrites);
-    if (stale.length > 0) completions.push(this.removeStale(stale));
+    if (stale.length > 0) completions.push(this.buildStaleKeyRemoval(stale));
     return completions;
   }
 
@@ -121,7 +135,7 @@
     else pages.set(page, [entry]);
   }
 
-  private completePage(page: number, entries: PageEntry[]): Completion {
+  private buildPageCompletion(page: number, entries: PageEntry[]): Completion {
     return {
       job: null,
       conditions: [],
@@ -129,11 +143,11 @@
       onDurable: () => {
         for (const { job, indexes, written } of entries) this.markDurable(job, indexes, written);
       },
-      onJobGone: () => undefined,
+      onJobRecordMissing: () => undefined,
     };
   }
 
-  private removeStale(stale: string[]): Completion {
+  private buildStaleKeyRemoval(stale: string[]): Completion {
     return {
       job: null,
       conditions: [],
@@ -141,7 +155,7 @@
       onDurable: () => {
         for (const key of stale) this.staleKeys.delete(key);
       },
-      onJobGone: () => undefined,
+      onJobRecordMissing: () => undefined,
     };
   }
 
@@ -153,7 +167,7 @@
     if (indexes.size === 0 && this.unwritten.get(job) === indexes) this.unwritten.delete(job);
   }
 
-  private completeJob(job: Job): Completion {
+  private buildJobCompletion(job: Job): Completion {
     const { id, tasks } = job.spec;
     return {
       job: id,
@@ -165,17 +179,17 @@
         this.progress.remove(id);
         this.log.info({ job: id }, "job done");
       },
-      onJobGone: () => {
-        this.discard(job);
+      onJobRecordMissing: () => {
+        this.discardJob(job);
       },
     };
   }
 
-  private completeChunks(job: Job, indexes: Set<number>, maxWrites: number): Completion {
+  private buildChunkCompletion(job: Job, indexes: Set<number>, maxWrites: number): Completion {
     const { id } = job.spec;
-    const changedChunks = new Set([...indexes].map(chunkOf));
+    const changedChunks = new Set([...indexes].map(chunkIndexOf));
     const chunks = [...changedChunks].slice(0, Math.max(1, maxWrites));
-    const written = [...indexes].filter((index) => chunks.includes(chunkOf(index)));
+    const written = [...indexes].filter((index) => chunks.includes(chunkIndexOf(index)));
     return {
       job: id,
       conditions: [{ key: keys.job(id), version: job.version }],
@@ -186,15 +200,18 @@
       onDurable: () => {
         this.markDurable(job, indexes, written);
       },
-      onJobGone: () => {
-        this.discard(job);
+      onJobRecordMissing: () => {
+        this.discardJob(job);
       },
     };
   }
 
-  /** What was to be written of a job whose record is gone is never retried, or other jobs' writes would fail with it. */
-  private discard(job: Job): void {
+  /**
+   * Drops the unwritten tasks of a job whose record no longer exists: retrying them would fail the transactions of
+   * other jobs as well.
+   */
+  private discardJob(job: Job): void {
     this.unwritten.delete(job);
-    this.dropJob(job.spec.id);
+    this.endJob(job.spec.id);
   }
 }
--- a/src/shards/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -1,4 +1,4 @@
-/** Jobs that have ended while tasks of theirs are on machines: when they were stopped, and when they were gone. */
+/** Tracks ended jobs that still have tasks on machines, and records how long stopping those tasks takes. */
 import type { Logger } from "../runtime/log.js";
 import type { WorkerCommand } from "../wire/index.js";
 import type { Job } from "../workers/job.js";
@@ -6,12 +6,12 @@
 
 interface EndedJob {
   job: Job;
-  /** When its end can have been confirmed at the earliest: steady time in milliseconds. */
-  since: number;
+  /** Earliest time at which its end can have been confirmed: steady time in milliseconds. */
+  earliestEndAt: number;
   stopSent: boolean;
 }
 
-/** Follows the ended jobs of one shard until none of their tasks is left. */
+/** Tracks the ended jobs of one shard until none of their tasks is left. */
 export class EndedJobs {
   private readonly pending = new Map<string, EndedJob>();
 
@@ -21,33 +21,36 @@
     private readonly log: Logger,
   ) {}
 
-  /** A job with tasks on machines has ended, at the earliest at `since`: steady time in milliseconds. */
-  add(job: Job, since: number): void {
-    this.pending.set(job.spec.id, { job, since, stopSent: false });
+  /**
+   * Adds an ended job that has tasks on machines; `earliestEndAt` is the earliest time at which its end can have been
+   * confirmed, steady time in milliseconds.
+   */
+  add(job: Job, earliestEndAt: number): void {
+    this.pending.set(job.spec.id, { job, earliestEndAt, stopSent: false });
     this.log.info(
       { shard: this.shard, job: job.spec.id, tasks: job.active.size },
       "ended job has tasks on machines",
     );
   }
 
-  /** Records which ended jobs are stopped by commands that go out now. */
+  /** Records the first stop command that is sent for each ended job. */
   recordStops(commands: readonly WorkerCommand[], now: number): void {
     if (this.pending.size === 0) return;
     for (const { op, job } of commands) {
       const ended = op === "stop" ? this.pending.get(job) : undefined;
       if (ended === undefined || ended.stopSent) continue;
       ended.stopSent = true;
-      this.metrics.stopSent(now - ended.since);
+      this.metrics.recordStopSent(now - ended.earliestEndAt);
     }
   }
 
-  /** Removes the jobs that have no task on a machine any more. */
-  removeGone(now: number): void {
-    for (const [id, { job, since }] of this.pending) {
+  /** Removes the jobs that have no task left on any machine. */
+  removeWithoutTasks(now: number): void {
+    for (const [id, { job, earliestEndAt }] of this.pending) {
       if (job.active.size > 0) continue;
       this.pending.delete(id);
-      const tookMs = Math.round(now - since);
-      this.metrics.tasksGone(tookMs);
+      const tookMs = Math.round(now - earliestEndAt);
+      this.metrics.recordTasksGone(tookMs);
       this.log.info({ shard: this.shard, job: id, tookMs }, "ended job has no tasks left");
     }
   }
--- a/src/shards/heartbeat-responder.ts
+++ b/src/shards/heartbeat-responder.ts
@@ -1,4 +1,4 @@
-/** Decides how one shard's owner responds to a heartbeat. */
+/** Builds the response of one shard's owner to a heartbeat. */
 import { limitCommands } from "../workers/worker-commands.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Heartbeat, WorkerCommand } from "../wire/index.js";
@@ -12,7 +12,7 @@
 
 const REFUSED: HeartbeatResponse = { kind: "refused" };
 
-/** What the responder of one shard is made from. */
+/** Dependencies of a shard's heartbeat responder. */
 export interface HeartbeatResponderDependencies {
   readonly shard: Shard;
   readonly term: ShardTerm;
@@ -28,39 +28,40 @@
 export class HeartbeatResponder {
   constructor(private readonly dependencies: HeartbeatResponderDependencies) {}
 
-  /** Reconciles a heartbeat, places on its machine, and renews the worker's lease if that is allowed. */
+  /** Reconciles a heartbeat, places tasks on its machine, and renews the worker's lease if that is allowed. */
   respond(heartbeat: Heartbeat): HeartbeatResponse {
     const { shard, term, callbacks, renewalGuard, clock } = this.dependencies;
     const now = clock();
-    const permission = renewalGuard.permission(
+    const permission = renewalGuard.checkPermission(
       callbacks.authority(),
       heartbeat.highestToken,
       now - shard.viewCompleteAsOf,
     );
     if (!permission.allowed) {
-      // Either we are deposed, and the advance fails, or the machine comes from a shard with a higher token.
+      // Either another owner has taken over the shard, and advancing the token fails, or the machine was transferred
+      // from a shard with a higher token.
       if (permission.reason === "newer_token") callbacks.advanceToken();
       return REFUSED;
     }
-    term.follow(permission.token);
+    term.updateToken(permission.token);
     const commands = shard.reconcileHeartbeat(heartbeat, now);
     if (commands === null) {
-      renewalGuard.heartbeatIgnored();
+      renewalGuard.recordIgnoredHeartbeat();
       return REFUSED;
     }
     this.dependencies.machineRecorder.record();
-    this.place(heartbeat.host, permission.token, now, commands);
+    this.addStartsAtHeartbeat(heartbeat.host, permission.token, now, commands);
     this.dependencies.completionWriter.write();
-    const renewal = renewalGuard.decide(permission, heartbeat, limitCommands(commands), (job) =>
+    const renewal = renewalGuard.decideRenewal(permission, heartbeat, limitCommands(commands), (job) =>
       shard.isLiveJob(job),
     );
     return renewal === null ? REFUSED : { kind: "commands", renewal };
   }
 
-  /** Adds the starts of tasks that are placed on the machine now to the commands. */
-  private place(host: string, token: number, now: number, commands: WorkerCommand[]): void {
+  /** Places tasks on the machine and adds their start commands. */
+  private addStartsAtHeartbeat(host: string, token: number, now: number, commands: WorkerCommand[]): void {
     const { shard, callbacks, rounds } = this.dependencies;
-    if (!callbacks.mayPlace() || !rounds.placeAfterHeartbeat(host, token, now)) return;
+    if (!callbacks.canPlaceTasks() || !rounds.placeAfterHeartbeat(host, token, now)) return;
     const starts = commands.filter(({ op }) => op === "start");
     const startedAttempts = new Set(starts.map(({ attempt }) => attempt));
     for (const start of shard.startCommands(host))
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -1,4 +1,4 @@
-/** Decides on every lease renewal, counts the outcomes, and logs those that matter. */
+/** Approves or refuses every lease renewal, counts the outcomes, and logs the significant ones. */
 import type { ShardAuthority } from "../membership/shard-authority.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
@@ -13,22 +13,22 @@
 } from "../workers/lease-renewal.js";
 import type { DecisionMetrics } from "./decision-metrics.js";
 
-/** The durations that the renewal guard goes by. */
+/** Limits of the renewal guard, in milliseconds. */
 export interface RenewalGuardTimings {
-  /** The age of a shard's view from which on no lease may be renewed on it. */
+  /** A shard whose view of the records is this old or older renews no lease. */
   maxViewAgeMs: number;
-  /** The least time between two log lines about refusals. */
-  spacingMs: number;
+  /** Minimum time between two log lines about renewals rejected as violations. */
+  minIntervalMs: number;
 }
 
-/** Reasons that concern one machine or one heartbeat: they are counted, and not logged one by one. */
+/** Refusals that concern a single machine or heartbeat: counted, but not logged individually. */
 const ROUTINE_REFUSALS: ReadonlySet<RenewalRefusal> = new Set(["newer_token", "report_not_newer"]);
 
-/** All lease renewals of one shard's owner pass through its guard. */
+/** Checks all lease renewals of one shard's owner. */
 export class RenewalGuard {
-  /** The reason of the last refusal that concerned the whole shard; null while it renews leases. */
-  private shardRefusal: RenewalRefusal | null = null;
-  private lastViolationAt = -Infinity;
+  /** Reason of the last refusal that concerned the whole shard; null while the shard renews leases. */
+  private lastShardRefusal: RenewalRefusal | null = null;
+  private lastViolationLogAt = -Infinity;
 
   constructor(
     private readonly shard: number,
@@ -38,8 +38,11 @@
     private readonly log: Logger,
   ) {}
 
-  /** Whether a heartbeat may be answered with a renewal at all; `viewAgeMs` is the age of the shard's own view. */
-  permission(authority: ShardAuthority, workerToken: number, viewAgeMs: number): RenewalPermission {
+  /**
+   * Decides, before a heartbeat is reconciled, whether its response may renew the worker's lease. `viewAgeMs` is the
+   * age of the shard's own view of the records.
+   */
+  checkPermission(authority: ShardAuthority, workerToken: number, viewAgeMs: number): RenewalPermission {
     const { maxViewAgeMs } = this.timings;
     const permission = decideRenewalPermission({
       authority,
@@ -47,19 +50,21 @@
       shardViewAgeMs: viewAgeMs,
       maxViewAgeMs,
     });
-    if (!permission.allowed) this.metrics.refused(permission.reason);
+    if (!permission.allowed) this.metrics.recordRefusal(permission.reason);
     if (permission.allowed || !ROUTINE_REFUSALS.has(permission.reason))
-      this.logChange(permission.allowed ? null : permission.reason, authority, viewAgeMs);
+      this.logRefusalChange(permission.allowed ? null : permission.reason, authority, viewAgeMs);
     return permission;
   }
 
-  /** The heartbeat was not newer than the last one, or not of a machine of this shard. */
-  heartbeatIgnored(): void {
-    this.metrics.refused("report_not_newer");
+  /**
+   * Counts a heartbeat that was not newer than the last one from its machine, or whose machine is not in this shard.
+   */
+  recordIgnoredHeartbeat(): void {
+    this.metrics.recordRefusal("report_not_newer");
   }
 
-  /** The renewal that may be sent; null if it would break a rule. */
-  decide(
+  /** Returns the renewal to send, or null if the response would keep or start a task of an ended job. */
+  decideRenewal(
     permission: Extract<RenewalPermission, { allowed: true }>,
     heartbeat: Heartbeat,
     commands: readonly WorkerCommand[],
@@ -67,18 +72,22 @@
   ): LeaseRenewal | null {
     const renewal = LeaseRenewal.decide(permission.token, heartbeat, commands, isLive);
     if (renewal instanceof LeaseRenewal) {
-      this.metrics.answered(permission.shardViewAgeMs);
+      this.metrics.recordRenewal(permission.shardViewAgeMs);
       return renewal;
     }
-    this.metrics.refused(renewal.reason);
+    this.metrics.recordRefusal(renewal.reason);
     this.logViolation(renewal, heartbeat, permission);
     return null;
   }
 
-  /** One line when the shard stops renewing leases and one when it goes on, with the evidence. */
-  private logChange(reason: RenewalRefusal | null, authority: ShardAuthority, viewAgeMs: number): void {
-    if (reason === this.shardRefusal) return;
-    this.shardRefusal = reason;
+  /** Logs when the shard stops or resumes renewing leases, or when the reason changes, with the evidence. */
+  private logRefusalChange(
+    reason: RenewalRefusal | null,
+    authority: ShardAuthority,
+    viewAgeMs: number,
+  ): void {
+    if (reason === this.lastShardRefusal) return;
+    this.lastShardRefusal = reason;
     const evidence = {
       shard: this.shard,
       token: authority.held ? authority.token : null,
@@ -86,16 +95,19 @@
       viewAgeMs: Math.round(authority.viewAgeMs),
       copyAgeMs: Math.round(viewAgeMs),
     };
-    if (reason === null) this.log.info(evidence, "heartbeats answered");
-    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "heartbeats refused");
-    else this.log.info({ ...evidence, reason }, "heartbeats refused");
+    if (reason === null) this.log.info(evidence, "lease renewals resumed");
+    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "lease renewals refused");
+    else this.log.info({ ...evidence, reason }, "lease renewals refused");
   }
 
-  /** At most one line in `spacingMs`: a fault may concern every machine of a large shard. The metrics count them all. */
+  /**
+   * Logs at most one line per `minIntervalMs`, since a fault may affect every machine of a large shard. The metrics
+   * count every violation.
+   */
   private logViolation(rejected: RejectedRenewal, heartbeat: Heartbeat, permission: RenewalPermission): void {
     const now = this.clock();
-    if (now - this.lastViolationAt < this.timings.spacingMs) return;
-    this.lastViolationAt = now;
+    if (now - this.lastViolationLogAt < this.timings.minIntervalMs) return;
+    this.lastViolationLogAt = now;
     const { host, epoch: session, sequence: seq, highestToken: workerToken } = heartbeat;
     const evidence = { shard: this.shard, host, session, seq, workerToken, ...permission };
     this.log.error({ ...evidence, ...rejected }, "lease renewal rejected");
--- a/src/shards/round-throttle.ts
+++ b/src/shards/round-throttle.ts
@@ -9,7 +9,7 @@
 /** The shard, time limits and clock that the throttle depends on. */
 export interface RoundThrottleDependencies {
   readonly shard: Shard;
-  readonly timings: Pick<ShardOwnerTimings, "roundBudgetMs" | "preemptionSpacingMs">;
+  readonly timings: Pick<ShardOwnerTimings, "roundBudgetMs" | "minPreemptionIntervalMs">;
   readonly clock: SteadyClock;
 }
 
@@ -49,11 +49,11 @@
   }
 
   /**
-   * Searches for tasks to preempt, at most once every `preemptionSpacingMs`, so that the tasks chosen by one search have
+   * Searches for tasks to preempt, at most once every `minPreemptionIntervalMs`, so that the tasks chosen by one search have
    * time to stop before the next one.
    */
   preempt(now: number): void {
-    if (now - this.lastPreemptionAt < this.timings.preemptionSpacingMs) return;
+    if (now - this.lastPreemptionAt < this.timings.minPreemptionIntervalMs) return;
     this.lastPreemptionAt = now;
     this.shard.preempt(now, this.clock, this.clock() + this.timings.roundBudgetMs);
   }
--- a/src/shards/shard-owner.ts
+++ b/src/shards/shard-owner.ts
@@ -1,4 +1,4 @@
-/** The actor that owns one shard while this process is its owner: dispatches messages to the parts that do the work. */
+/** The actor of one shard while this process owns it: dispatches messages to the modules that handle them. */
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
@@ -17,10 +17,10 @@
 import type { Shard } from "./shard.js";
 import type { ShardOwnerCallbacks, ShardOwnerMessage, ShardOwnerTimings } from "./shard-owner-messages.js";
 
-/** Machine records and finished jobs are written so many times as often as progress and summaries. */
-const PROMPT_WRITE_FACTOR = 4;
+/** Machine records and finished jobs are written this many times as often as progress and summaries. */
+const FREQUENT_WRITE_FACTOR = 4;
 
-/** What a shard owner is made from. */
+/** Dependencies of a shard owner. */
 export interface ShardOwnerDependencies {
   readonly shard: Shard;
   readonly timings: ShardOwnerTimings;
@@ -33,12 +33,12 @@
   readonly log: Logger;
 }
 
-/** Acts for one shard from the moment this process owns it until it is retired. */
+/** Acts for one shard from the time this process owns it until the owner is retired. */
 export class ShardOwner extends Actor<ShardOwnerMessage> {
   private lastSummaryAt = -Infinity;
   /**
-   * Ticks since a heartbeat of one of the shard's workers last came in. Counted in ticks, since a process that was
-   * suspended has received none meanwhile.
+   * Ticks since the last heartbeat from one of the shard's workers. Counted in ticks, not by the clock: a process that
+   * was suspended receives no heartbeats meanwhile, and no ticks either.
    */
   private ticksSinceHeartbeat = 0;
   private readonly shard: Shard;
@@ -62,24 +62,24 @@
     this.view = view;
     this.clock = clock;
     this.callbacks = callbacks;
-    const { spacingMs } = timings;
+    const { minIntervalMs } = timings;
     const term = new ShardTerm(shard, callbacks);
     const common = { shard, term, state, fleet, view, clock, callbacks, log };
     this.term = term;
     this.rounds = new RoundThrottle({ ...common, timings });
     this.machineRecorder = new MachineRecorder({
       ...common,
-      spacingMs: spacingMs / PROMPT_WRITE_FACTOR,
+      minWriteIntervalMs: minIntervalMs / FREQUENT_WRITE_FACTOR,
       onWriteEnded: () => void this.tell({ kind: "machines_recorded" }),
     });
     this.completionWriter = new CompletionWriter({
       ...common,
-      spacingMs: spacingMs / PROMPT_WRITE_FACTOR,
-      progressSpacingMs: spacingMs,
+      minWriteIntervalMs: minIntervalMs / FREQUENT_WRITE_FACTOR,
+      minProgressIntervalMs: minIntervalMs,
       onWriteEnded: () => void this.tell({ kind: "completions_written" }),
     });
-    this.removal = new MachineRemoval({ ...common, retryMs: spacingMs });
-    this.migrator = new JobMigrator({ ...common, retryMs: spacingMs });
+    this.removal = new MachineRemoval({ ...common, retryMs: minIntervalMs });
+    this.migrator = new JobMigrator({ ...common, retryMs: minIntervalMs });
     const { rounds, machineRecorder, completionWriter } = this;
     this.responder = new HeartbeatResponder({
       ...common,
@@ -90,17 +90,20 @@
     });
   }
 
-  /** The shard has another owner, or another node: nothing that this owner began is retried any more. */
+  /**
+   * Ends the term because another owner or node has the shard: operations that this owner began are not retried any
+   * more.
+   */
   retire(): void {
     this.term.end();
   }
 
-  /** Whether no worker has reported here for longer than any of them waits between two heartbeats. */
+  /** Whether no worker has reported here for longer than the time between two heartbeats of any worker. */
   get isCutOffFromWorkers(): boolean {
-    return this.ticksSinceHeartbeat > this.timings.quietTicks;
+    return this.ticksSinceHeartbeat > this.timings.maxTicksWithoutHeartbeat;
   }
 
-  /** How many machines are expected to report here. */
+  /** Number of machines that are expected to send heartbeats to this owner. */
   get expectedHeartbeatSources(): number {
     return this.shard.expectedHeartbeatSources;
   }
@@ -130,7 +133,7 @@
         this.drainMachines(message.hosts, message.reply);
         return;
       case "job_cancelled":
-        this.shard.cancelled(message.job, this.clock());
+        this.shard.cancelJob(message.job, this.clock());
         return;
       case "migrate_job":
         void this.migrator.migrate(message.job, message.targetShard);
@@ -147,7 +150,7 @@
   }
 
   private drainMachines(hosts: string[], reply: (hosts: string[]) => void): void {
-    if (!this.callbacks.mayRemoveMachines()) reply([]);
+    if (!this.callbacks.canRemoveMachines()) reply([]);
     else void this.removal.remove({ reason: "drain", hosts }, reply);
   }
 
@@ -157,10 +160,10 @@
     this.ticksSinceHeartbeat++;
     this.shard.expire(now);
     if (token === null) return;
-    if (this.shard.attemptsExhausted) this.callbacks.advanceToken();
+    if (this.shard.areAttemptsNearlyExhausted) this.callbacks.advanceToken();
     this.machineRecorder.record();
     this.shard.drainInterrupted();
-    if (this.callbacks.mayPlace()) {
+    if (this.callbacks.canPlaceTasks()) {
       this.rounds.place(token);
       this.rounds.preempt(now);
     }
@@ -169,7 +172,7 @@
   }
 
   private sendSummary(token: number, now: number): void {
-    if (now - this.lastSummaryAt < this.timings.spacingMs) return;
+    if (now - this.lastSummaryAt < this.timings.minIntervalMs) return;
     this.lastSummaryAt = now;
     const summary = this.shard.summary(token, now);
     if (this.log.isLevelEnabled("debug")) {
@@ -179,6 +182,6 @@
         "shard load",
       );
     }
-    this.callbacks.sendSummary(this.callbacks.mayPlace() ? summary : withoutDemand(summary));
+    this.callbacks.sendSummary(this.callbacks.canPlaceTasks() ? summary : withoutDemand(summary));
   }
 }
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -119,7 +119,7 @@
       "a job that is being migrated is not migrated again",
     );
     assert.deepEqual(shard.summary(TOKEN, 0).migrationCandidates, []);
-    shard.migrationFailed(prepared.job);
+    shard.cancelMigration(prepared.job);
     assert.equal(shard.summary(TOKEN, 0).migrationCandidates[0]?.job, "req-1", "it may be migrated later");
   });
 
