--- a/src/autoscaling/machine-registration.ts
+++ b/src/autoscaling/machine-registration.ts
@@ -57,7 +57,7 @@
     log.info({ hosts: groups.flatMap(({ hosts }) => hosts) }, "machines registered");
     const conditions = [leaderCondition, this.registrationCondition()];
     const registration: Write = { put: keys.machineRegistration, value: { machines: writes.length } };
-    const maxGroups = state.txnOps - 1;
+    const maxGroups = state.maxTransactionWrites - 1;
     await state.compareAndSwap(conditions, [registration, ...writes.slice(0, maxGroups)], "ownership");
   }
 
--- a/src/autoscaling/machine-returns.ts
+++ b/src/autoscaling/machine-returns.ts
@@ -27,12 +27,12 @@
   async returnDrained(leaderCondition: Condition): Promise<boolean> {
     const { cloud, state, fleet, log } = this.dependencies;
     // Only what one transaction takes out of the records: the rest would be returned again, pass after pass.
-    const { hosts } = fleet.changeStage(this.drainedHosts(), null, state.txnOps);
+    const { hosts } = fleet.changeStage(this.drainedHosts(), null, state.maxTransactionWrites);
     if (hosts.length === 0 || !cloud.tryAcquireCall()) return false;
     await cloud.returnMachines(hosts);
     this.recordReturn(hosts);
     log.info({ hosts }, "machines returned");
-    const { conditions, writes } = fleet.changeStage(hosts, null, state.txnOps);
+    const { conditions, writes } = fleet.changeStage(hosts, null, state.maxTransactionWrites);
     // What has changed meanwhile is returned once more, which harms nobody, and removed then.
     await state.compareAndSwap([leaderCondition, ...conditions], writes, "ownership");
     return true;
--- a/src/autoscaling/rental-orders.ts
+++ b/src/autoscaling/rental-orders.ts
@@ -99,7 +99,7 @@
     // The order is still there, as it was sent: a late copy of this write brings no machine back.
     const conditions = [leaderCondition, { key: keys.rentalOrder(name), version }];
     // Machines past what one write holds are in no record: they are registered once their heartbeats come.
-    const writes = [...groups.slice(0, state.txnOps - 1), { remove: keys.rentalOrder(name) }];
+    const writes = [...groups.slice(0, state.maxTransactionWrites - 1), { remove: keys.rentalOrder(name) }];
     await state.compareAndSwap(conditions, writes, "ownership");
   }
 }
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -187,7 +187,7 @@
       fleet: this.fleet,
       clock: this.network.clock,
       callbacks: {
-        leadership: () => this.membership.leadership(),
+        leadership: () => this.membership.leaderVersion(),
         requestOwner: (shard, request) => this.controllerRequests.sendToOwner(shard, request),
         mayCallCloud: () => this.links.policy.allows("order"),
       },
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -129,7 +129,7 @@
   private monitorCallbacks(): LinkMonitorCallbacks {
     return {
       ownedShards: () => this.actors?.shards.statuses() ?? [],
-      isLeader: () => this.actors !== null && this.actors.membership.leadership() !== null,
+      isLeader: () => this.actors !== null && this.actors.membership.leaderVersion() !== null,
       isMember: (node) => this.actors?.membership.cluster.members.has(node) ?? false,
       probe: (link) => {
         this.probe(link);
--- a/src/controller/summary-exchange.ts
+++ b/src/controller/summary-exchange.ts
@@ -76,7 +76,7 @@
       .compareAndSwap(
         [{ key: keys.shard(shard), version: token }],
         [write],
-        "note",
+        "background",
         this.dependencies.queueTimeoutMs,
       )
       .catch((err: unknown) => {
--- a/src/membership/membership-lease.ts
+++ b/src/membership/membership-lease.ts
@@ -61,7 +61,7 @@
     return {
       leaseLeftMs: this.validUntil - now,
       viewAgeMs: now - view.completeAsOf,
-      viewShowsJoin: this.viewShowsJoin(),
+      hasViewReachedJoin: this.viewShowsJoin(),
       maxViewAgeMs: timings.maxViewAgeMs,
     };
   }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -95,7 +95,7 @@
     return decideShardAuthority({
       ...this.lease.evidence(),
       token,
-      handingOver: this.handOvers.isRelinquished(shard),
+      isHandingOver: this.handOvers.isRelinquished(shard),
     });
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** The version of the leader's record if this process leads at present, otherwise null. */
-  leadership(): number | null {
+  leaderVersion(): number | null {
     const { leader } = this.knownCluster;
     if (leader === null || !isSameInstance(leader, this.self)) return null;
     return this.lease.isHeld() ? leader.version : null;
@@ -203,7 +203,7 @@
   }
 
   private startResignation(): void {
-    const version = this.leadership();
+    const version = this.leaderVersion();
     if (version === null || this.transactionPending) return;
     this.transactionPending = true;
     void this.leaderTerm.resign(version);
--- a/src/membership/shard-authority.ts
+++ b/src/membership/shard-authority.ts
@@ -22,7 +22,7 @@
   /** For how long the replica may have been incomplete, in milliseconds: the age of the request that it was read with. */
   viewAgeMs: number;
   /** Whether the replica is at least as new as this process's member record. */
-  viewShowsJoin: boolean;
+  hasViewReachedJoin: boolean;
   /** The age, in milliseconds, from which a replica is too old for the renewal of a worker's lease. */
   maxViewAgeMs: number;
 }
@@ -32,7 +32,7 @@
   /** The version of the shard's record if it names this process, otherwise null. */
   token: number | null;
   /** Whether the process has relinquished the shard in order to hand it over. */
-  handingOver: boolean;
+  isHandingOver: boolean;
 }
 
 /** The right to act for a shard, or the reason why there is none. */
@@ -43,7 +43,7 @@
 /** Why the lease and the replica do not carry any decision; null where they do. */
 export function leaseRefusal(evidence: LeaseEvidence): AuthorityRefusal | null {
   if (evidence.leaseLeftMs <= 0) return "lease_over";
-  if (!evidence.viewShowsJoin) return "view_before_entry";
+  if (!evidence.hasViewReachedJoin) return "view_before_entry";
   // Guards against renewing a worker's lease for a task whose cancellation has not reached this process.
   if (evidence.viewAgeMs >= evidence.maxViewAgeMs) return "view_too_old";
   return null;
@@ -51,7 +51,7 @@
 
 /** Decides on the right to act for a shard. */
 export function decideShardAuthority(evidence: ShardAuthorityEvidence): ShardAuthority {
-  const { token, handingOver, leaseLeftMs, viewAgeMs } = evidence;
+  const { token, isHandingOver, leaseLeftMs, viewAgeMs } = evidence;
   const refused = (reason: AuthorityRefusal): ShardAuthority => ({
     held: false,
     reason,
@@ -59,7 +59,7 @@
     viewAgeMs,
   });
   if (token === null) return refused("not_owner");
-  if (handingOver) return refused("passing_on");
+  if (isHandingOver) return refused("passing_on");
   const reason = leaseRefusal(evidence);
   return reason === null ? { held: true, token, leaseLeftMs, viewAgeMs } : refused(reason);
 }
--- a/src/shards/completion-writer.ts
+++ b/src/shards/completion-writer.ts
@@ -40,16 +40,16 @@
     const token = term.currentToken();
     const now = clock();
     if (this.writePending || token === null || now - this.lastWriteAt < spacingMs) return;
-    const finished = shard.finishedJobs(state.txnOps);
+    const finished = shard.finishedJobs(state.maxTransactionWrites);
     if (finished.length > 0) {
       this.startWrite(token, finished, "result", now);
       return;
     }
     if (now - this.lastProgressAt < progressSpacingMs) return;
-    const progress = shard.taskProgress(state.txnOps);
+    const progress = shard.taskProgress(state.maxTransactionWrites);
     if (progress.length === 0) return;
     this.lastProgressAt = now;
-    this.startWrite(token, progress, "note", now);
+    this.startWrite(token, progress, "background", now);
   }
 
   /** The last write has ended: starts the next one if it is due. */
--- a/src/shards/job-migrator.ts
+++ b/src/shards/job-migrator.ts
@@ -96,7 +96,7 @@
   private async tryCommit(job: Job, { conditions, writes }: MigrationTransaction): Promise<MigrationOutcome> {
     const { state, log } = this.dependencies;
     try {
-      const result = await state.compareAndSwap(conditions, writes, "note");
+      const result = await state.compareAndSwap(conditions, writes, "background");
       if (result.ok) return "record_changed";
       const entry = await state.read(keys.job(job.spec.id));
       return entry?.version === job.version ? "rejected" : "record_changed";
--- a/src/shards/machine-recorder.ts
+++ b/src/shards/machine-recorder.ts
@@ -37,11 +37,11 @@
     this.lastAttemptAt = now;
     const hosts = shard.unrecordedHosts();
     if (hosts.length === 0) return;
-    const { conditions, writes } = fleet.changeStage(hosts, "up", state.txnOps);
+    const { conditions, writes } = fleet.changeStage(hosts, "up", state.maxTransactionWrites);
     if (writes.length === 0) return;
     this.writePending = true;
     state
-      .compareAndSwap([{ key: keys.shard(shard.id), version: token }, ...conditions], writes, "note")
+      .compareAndSwap([{ key: keys.shard(shard.id), version: token }, ...conditions], writes, "background")
       .catch((err: unknown) => {
         this.dependencies.log.debug({ err }, "machine records not written");
       })
--- a/src/shards/machine-removal.ts
+++ b/src/shards/machine-removal.ts
@@ -55,9 +55,14 @@
     const { fleet, state } = this.dependencies;
     switch (request.reason) {
       case "drain":
-        return fleet.changeStage(hosts, "leaving", state.txnOps);
+        return fleet.changeStage(hosts, "leaving", state.maxTransactionWrites);
       case "transfer":
-        return fleet.transferToShard(hosts, request.targetShard, () => crypto.randomUUID(), state.txnOps);
+        return fleet.transferToShard(
+          hosts,
+          request.targetShard,
+          () => crypto.randomUUID(),
+          state.maxTransactionWrites,
+        );
     }
   }
 
@@ -66,7 +71,7 @@
     const { shard, state, log } = this.dependencies;
     const ownership = { key: keys.shard(shard.id), version: token };
     try {
-      const result = await state.compareAndSwap([ownership, ...conditions], writes, "note");
+      const result = await state.compareAndSwap([ownership, ...conditions], writes, "background");
       if (result.ok) {
         log.info({ shard: shard.id, hosts }, "machines removed from shard");
         return true;
@@ -117,7 +122,7 @@
     const { shard, state } = this.dependencies;
     const conditions = [{ key: keys.shard(shard.id), version: token }, unchanged];
     const writes = [{ put: unchanged.key, value: group }];
-    const result = await state.compareAndSwap(conditions, writes, "note");
+    const result = await state.compareAndSwap(conditions, writes, "background");
     return result.ok;
   }
 }
--- a/src/state/shared-write-rate.ts
+++ b/src/state/shared-write-rate.ts
@@ -9,14 +9,14 @@
  * The priority of a write, from the highest to the lowest: leases, ownership and commands; what users wait for; ended
  * jobs; notes about machines and completed tasks, which may be delayed without harm.
  */
-export type WritePriority = "ownership" | "user" | "result" | "note";
+export type WritePriority = "ownership" | "user" | "result" | "background";
 
 /** The part of the burst that each priority leaves to those above it. */
 const BURST_RESERVES: readonly PriorityReserve<WritePriority>[] = [
   { priority: "ownership", reserve: 0 },
   { priority: "user", reserve: 0.1 },
   { priority: "result", reserve: 0.25 },
-  { priority: "note", reserve: 0.4 },
+  { priority: "background", reserve: 0.4 },
 ];
 
 /** A controller may always use this part of an equal share, whatever the others seem to use. */
--- a/src/state/state-store-client.ts
+++ b/src/state/state-store-client.ts
@@ -75,7 +75,7 @@
   private readonly writeRate: SharedWriteRate;
   private readonly timeoutMs: number;
   /** The most writes of one transaction. */
-  readonly txnOps: number;
+  readonly maxTransactionWrites: number;
 
   constructor({ http, watchHttp, limits, controllers, clock, timeoutMs }: StateStoreClientOptions) {
     const initialShare = Math.min(1, UNEVEN_LOAD_FACTOR / controllers);
@@ -89,7 +89,7 @@
       clock,
     });
     this.timeoutMs = timeoutMs;
-    this.txnOps = limits.txnOps;
+    this.maxTransactionWrites = limits.txnOps;
   }
 
   /** Counts changes by any controller that the watch has shown: the rate of own writes adapts to them. */
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -98,7 +98,7 @@
   return new ShardOwner({
     shard: shard as unknown as Shard,
     timings: { roundBudgetMs: 50, spacingMs: 1000, preemptionSpacingMs: 1000, quietTicks: 8 },
-    state: { txnOps: 8 } as unknown as StateStoreClient,
+    state: { maxTransactionWrites: 8 } as unknown as StateStoreClient,
     view: new FakeView(),
     fleet: new Fleet(silent),
     clock,
--- a/test/renewal.test.ts
+++ b/test/renewal.test.ts
@@ -57,10 +57,10 @@
 test("the authority for a shard ends with the lease, the age of the replica, the join and the shard's record", () => {
   const evidence = {
     token: 7,
-    handingOver: false,
+    isHandingOver: false,
     leaseLeftMs: 1,
     viewAgeMs: STALE_MS - 1,
-    viewShowsJoin: true,
+    hasViewReachedJoin: true,
     maxViewAgeMs: STALE_MS,
   };
   assert.equal(decideShardAuthority(evidence).held, true);
@@ -69,9 +69,9 @@
     return authority.held ? "held" : authority.reason;
   };
   assert.equal(reasonOf({ token: null }), "not_owner");
-  assert.equal(reasonOf({ handingOver: true }), "passing_on");
+  assert.equal(reasonOf({ isHandingOver: true }), "passing_on");
   assert.equal(reasonOf({ leaseLeftMs: 0 }), "lease_over");
-  assert.equal(reasonOf({ viewShowsJoin: false }), "view_before_entry");
+  assert.equal(reasonOf({ hasViewReachedJoin: false }), "view_before_entry");
   assert.equal(reasonOf({ viewAgeMs: STALE_MS }), "view_too_old");
 });
 
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -24,32 +24,37 @@
       const limiter = new RateLimiter(10, 10, () => now, [
         { priority: "ownership", reserve: 0 },
         { priority: "user", reserve: 0.1 },
-        { priority: "note", reserve: 0.4 },
+        { priority: "background", reserve: 0.4 },
       ]);
       const outcomes: string[] = [];
       const acquire = async (
         cost: number,
-        priority: "ownership" | "user" | "note",
+        priority: "ownership" | "user" | "background",
         name: string,
         queueTimeoutMs?: number,
       ): Promise<void> => {
         const acquired = await limiter.acquire(cost, priority, queueTimeoutMs);
         outcomes.push(acquired ? name : `${name} refused`);
       };
-      void acquire(4, "note", "first note");
-      void acquire(4, "note", "second note");
+      void acquire(4, "background", "first background write");
+      void acquire(4, "background", "second background write");
       void acquire(5, "user", "submission");
       void acquire(1, "ownership", "renewal");
       void acquire(1, "user", "late submission", 50);
       await nextTurn();
       // The bucket holds ten at first: the second note would use what is reserved for higher priorities.
-      assert.deepEqual(outcomes, ["first note", "submission", "renewal", "late submission refused"]);
+      assert.deepEqual(outcomes, [
+        "first background write",
+        "submission",
+        "renewal",
+        "late submission refused",
+      ]);
       for (let i = 0; i < 20; i++) {
         now += 100;
         mock.timers.tick(100);
         await nextTurn();
       }
-      assert.deepEqual(outcomes.slice(4), ["second note"]);
+      assert.deepEqual(outcomes.slice(4), ["second background write"]);
     } finally {
       mock.timers.reset();
     }
--- a/test/support/cluster.ts
+++ b/test/support/cluster.ts
@@ -12,7 +12,12 @@
 import type { Listening } from "./http.js";
 import type { EndCause, WorkerFigures, WorkerStandIn } from "./worker.js";
 import { settingsText } from "./settings.js";
-import { stateService, type StateStandIn, type StateStore, type TransactionFate } from "./state-service.js";
+import {
+  startFakeStateService,
+  type FakeStateService,
+  type FakeStateStore,
+  type TransactionDelivery,
+} from "./state-service.js";
 
 /** Short enough for tests, long enough for a loaded machine: everything else follows from these. */
 const FIGURES: ClusterFigures = { reportMs: 200, leaseMs: 4000, runMs: 600, cancelMs: 16_000 };
@@ -60,7 +65,7 @@
   /** Told of what the cloud and its machines see, beside the history. */
   observer?: CloudObserver;
   /** What becomes of transactions on their way to the state service. */
-  transactionFate?: () => TransactionFate;
+  transactionFate?: () => TransactionDelivery;
   /** How long answers to workers are held up. */
   answerDelayMs?: () => number;
 }
@@ -108,7 +113,7 @@
   private readonly proxies = new Map<string, FaultProxy>();
 
   private constructor(
-    private readonly service: StateStandIn,
+    private readonly service: FakeStateService,
     readonly cloud: Cloud & Listening,
     readonly nodes: { node: string; address: string; back: string }[],
     /** What all workers are like, those yet to come included. */
@@ -116,7 +121,7 @@
     private readonly options: ClusterOptions,
   ) {}
 
-  get state(): StateStore {
+  get state(): FakeStateStore {
     return this.service.store;
   }
 
@@ -127,7 +132,7 @@
       nodes.push({ node: `node-${i}`, address: `${HOST}:${port}`, back: `${HOST}:${back}` });
     }
     const workers = { ...(options.figures ?? FIGURES) };
-    const service = await stateService(count, options.transactionFate);
+    const service = await startFakeStateService(count, options.transactionFate);
     // Workers reach controllers through proxies where there are any, whose addresses are known only then.
     const reached = nodes.map(({ node, address }) => ({ node, address }));
     const observer = new HistoryRecorder(options.observer);
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -23,7 +23,7 @@
 import { FakeView, jobSpec, silent, smallType } from "./records.js";
 import { testSettings } from "./settings.js";
 import { newShard } from "./shard.js";
-import { StateStore } from "./state-service.js";
+import { FakeStateStore } from "./state-service.js";
 
 /** A transaction as it is sent. */
 export interface StoredTransaction {
@@ -44,7 +44,7 @@
   readonly transactions: StoredTransaction[] = [];
   readonly view = new FakeView();
   readonly client: StateStoreClient;
-  readonly store = new StateStore();
+  readonly store = new FakeStateStore();
 
   constructor() {
     const http: JsonClient = {
@@ -71,7 +71,7 @@
 
   /** Puts records that are not what is looked at. */
   async prepare(...writes: Write[]): Promise<void> {
-    await this.client.compareAndSwap([], writes, "note");
+    await this.client.compareAndSwap([], writes, "background");
     this.transactions.length = 0;
   }
 }
@@ -349,7 +349,7 @@
   for (const step of steps) {
     fleet.applyChanges(state.view, null);
     const { conditions: guards, writes } = step();
-    await state.client.compareAndSwap(guards, writes, "note");
+    await state.client.compareAndSwap(guards, writes, "background");
   }
 }
 
--- a/test/support/simulation.ts
+++ b/test/support/simulation.ts
@@ -19,7 +19,7 @@
 import { silent } from "./records.js";
 import { RuleWatch } from "./rule-watch.js";
 import { testSettings, type SettingsOptions } from "./settings.js";
-import { StateStore } from "./state-service.js";
+import { FakeStateStore } from "./state-service.js";
 import { UserJob } from "./user-job.js";
 import type { WorkerFigures } from "./worker.js";
 
@@ -86,7 +86,7 @@
   now = 0;
   /** How many questions controllers have asked each other. */
   peerQuestions = 0;
-  readonly store = new StateStore();
+  readonly store = new FakeStateStore();
   readonly cloud: Cloud;
   readonly nodes: SimulatedNode[];
   readonly jobs = new Map<string, UserJob>();
@@ -325,7 +325,7 @@
     const late = path === "/multi" && this.chance() < this.lateWrites;
     if (!late) return this.store.handle(node, method, new URL(path, "http://state"), body);
     await sleep(2000 + this.chance() * 10_000);
-    this.store.carryOut(body);
+    this.store.executeDelayed(body);
     return new Promise(() => undefined);
   }
 
--- a/test/support/soak/faults.ts
+++ b/test/support/soak/faults.ts
@@ -1,7 +1,7 @@
 /** Carries out the faults of a soak run's plan on a cluster of real processes. */
 import { sleep } from "../../../src/runtime/sleep.js";
 import type { Cluster } from "../cluster.js";
-import type { TransactionFate } from "../state-service.js";
+import type { TransactionDelivery } from "../state-service.js";
 import type { WorkerStandIn } from "../worker.js";
 import { CONTROLLERS, type Luck, type SoakFault, type Target } from "./plan.js";
 import type { SoakRecorder } from "./recorder.js";
@@ -35,7 +35,7 @@
 
   constructor(private readonly luck: Luck) {}
 
-  transactionFate(): TransactionFate {
+  transactionFate(): TransactionDelivery {
     if (this.luck.chance() < this.lateTransactions)
       return { lateMs: this.luck.between(LATE_MS.least, LATE_MS.most) };
     return this.luck.chance() < this.lostAnswers ? "answer_lost" : "answered";
--- a/test/support/state-service.ts
+++ b/test/support/state-service.ts
@@ -26,7 +26,7 @@
 }
 
 /** The records, the leases and the operations on them, without a network. */
-export class StateStore {
+export class FakeStateStore {
   /** Nodes whose requests get 503 while others are served; their open watches wait. */
   readonly refused = new Set<number>();
   /** How many requests of all kinds have arrived. */
@@ -94,7 +94,7 @@
   }
 
   /** Executes a transaction that was sent earlier: its answer is lost, and no outage stops it. */
-  carryOut(body: unknown): void {
+  executeDelayed(body: unknown): void {
     this.commit(body as Transaction);
   }
 
@@ -188,32 +188,32 @@
 }
 
 /** A fake of the state service that listens. */
-export interface StateStandIn {
-  store: StateStore;
+export interface FakeStateService {
+  store: FakeStateStore;
   /** An address for each node, so that each can be refused alone. */
   addresses: string[];
   close(): void;
 }
 
 /** What happens to a transaction: it is executed and answered, its answer is lost, or it is executed late. */
-export type TransactionFate = "answered" | "answer_lost" | { lateMs: number };
+export type TransactionDelivery = "answered" | "answer_lost" | { lateMs: number };
 
 /** An answer that never comes. */
 const never = (): Promise<Reply> => new Promise(() => undefined);
 
 /** Starts the fake on loopback, with a server for each node. */
-export async function stateService(
+export async function startFakeStateService(
   nodes: number,
-  fateOf: () => TransactionFate = () => "answered",
-): Promise<StateStandIn> {
-  const store = new StateStore();
+  fateOf: () => TransactionDelivery = () => "answered",
+): Promise<FakeStateService> {
+  const store = new FakeStateStore();
   const handle = (node: number, method: string, url: URL, body: unknown): Reply | Promise<Reply> => {
     const fate = url.pathname === "/multi" ? fateOf() : "answered";
     if (fate === "answered") return store.handle(node, method, url, body);
     if (fate === "answer_lost") void store.handle(node, method, url, body);
     else
       setTimeout(() => {
-        store.carryOut(body);
+        store.executeDelayed(body);
       }, fate.lateMs).unref();
     return never();
   };
