--- a/src/membership/cluster-records.ts
+++ b/src/membership/cluster-records.ts
@@ -1,22 +1,22 @@
 /**
- * The records of the membership: which controllers are up, which one leads and which one owns each shard. The version of
- * a shard's record is the shard's fencing token.
+ * The membership records in the state store: the running controllers, the leader, and the owner of each shard. The
+ * version of a shard's record is the shard's fencing token.
  */
 import * as z from "zod";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 
-/** One life of a controller: its node, and an id that it made at its start. */
+/** One process of a controller: the node's name and an id that is generated each time the process starts. */
 export interface ControllerInstance {
   node: string;
   incarnation: string;
 }
 
-/** The value of a record that names a controller instance, as it is stored. */
+/** The stored form of a controller instance: the value of a member, leader or shard record. */
 interface StoredController {
   node: string;
   incarnation: string;
-  /** The id of the token advance that wrote the record, if one did. */
+  /** The id of the token advance that wrote the record; absent if another operation wrote it. */
   mark?: string | undefined;
 }
 
@@ -26,35 +26,38 @@
   mark: z.string().optional(),
 });
 
-/** A controller instance as a record names it. */
+/** A controller instance read from a record, with the record's version. */
 export interface ControllerRecord extends ControllerInstance {
   version: number;
-  /** Which token advance of a shard's owner wrote the record; null if none did. */
+  /** The id of the token advance that wrote the record; null if another operation wrote it. */
   advanceId: string | null;
 }
 
-/** Which controllers are members, which one leads and which one owns each shard, at one revision. */
+/** The members, the leader and the shard owners at one revision of the state store. */
 export interface Cluster {
-  /** By node. */
+  /** Keyed by node name. */
   members: Map<string, ControllerRecord>;
   leader: ControllerRecord | null;
-  /** By shard; null where no controller has ever owned it. */
+  /** Indexed by shard; null for a shard that has never been assigned. */
   shards: (ControllerRecord | null)[];
 }
 
-/** The value of a record that names a controller instance as member, leader or owner. */
+/** Encodes a controller instance as the value of a member, leader or shard record. */
 export const encodeController = ({ node, incarnation }: ControllerInstance): StoredController => ({
   node,
   incarnation,
 });
 
-/** The value of a shard's record whose owner advances its token: no other write has the same `advanceId`. */
+/**
+ * Encodes the value that an owner writes to its shard's record to advance the fencing token. `advanceId` must be unique
+ * to this token advance.
+ */
 export const encodeTokenAdvance = (owner: ControllerInstance, advanceId: string): StoredController => ({
   ...encodeController(owner),
   mark: advanceId,
 });
 
-/** The controller instance that a record's value names; null if the value does not name one. */
+/** Decodes a controller instance from a record's value; null if the value does not match the schema. */
 export function decodeController(value: unknown): ControllerInstance | null {
   const parsed = storedControllerSchema.safeParse(value);
   return parsed.success ? { node: parsed.data.node, incarnation: parsed.data.incarnation } : null;
@@ -68,7 +71,7 @@
   return { node, incarnation, version: entry.version, advanceId: mark ?? null };
 }
 
-/** Reads the membership records of a cluster of so many shards out of a replica. */
+/** Reads the membership records of a cluster with `shardCount` shards from a replica. */
 export function readCluster(view: ReplicaView, shardCount: number): Cluster {
   const members = new Map<string, ControllerRecord>();
   for (const entry of view.list(prefixes.members)) {
@@ -82,7 +85,7 @@
   };
 }
 
-/** Whether a shard has passed from one live controller to another between two states of the cluster. */
+/** Whether any shard has changed its owner between two cluster states while the former owner remained a member. */
 export function hasShardHandOver(before: Cluster, after: Cluster): boolean {
   return before.shards.some((formerOwner, shard) => {
     const owner = after.shards[shard]?.node;
@@ -95,6 +98,6 @@
   });
 }
 
-/** Whether two records name the same life of the same controller. */
+/** Whether both arguments identify the same process of the same controller. */
 export const isSameInstance = (a: ControllerInstance | null | undefined, b: ControllerInstance): boolean =>
   a?.node === b.node && a.incarnation === b.incarnation;
--- a/src/membership/leadership.ts
+++ b/src/membership/leadership.ts
@@ -1,62 +1,62 @@
-/** This process's terms as the leader: since when it leads, and resigning in favour of another controller. */
+/** Tracks how long this process has been the leader, and lets it resign in favour of another controller. */
 import type { SteadyClock } from "../runtime/clock.js";
 import { keys } from "../state/keys.js";
 import { isSameInstance, type ControllerRecord } from "./cluster-records.js";
 import type { TransactionDependencies } from "./membership-messages.js";
 
-/** For how many membership leases a process that has resigned leaves leadership to others. */
-const ABSTAIN_LEASES = 2;
+/** How long a process does not try to acquire leadership after it has resigned, in membership lease durations. */
+const RESIGNATION_COOLDOWN_LEASES = 2;
 
-/** What leadership is made from. */
+/** Dependencies of `Leadership`. */
 export interface LeadershipDependencies extends TransactionDependencies {
   readonly clock: SteadyClock;
   readonly membershipLeaseMs: number;
 }
 
-/** Follows whether this process leads, and resigns. */
+/** Tracks whether this process is the leader, and removes its leader record when it resigns. */
 export class Leadership {
   private leadingSince: number | null = null;
-  private abstainsUntil = -Infinity;
+  private cooldownEndsAt = -Infinity;
 
   constructor(private readonly dependencies: LeadershipDependencies) {}
 
-  /** Follows the leader's record; to be called after each change of the cluster. */
+  /** Updates the leadership state from the leader record; must be called after each change of the cluster. */
   update(leader: ControllerRecord | null): void {
     const { self, clock, log } = this.dependencies;
-    const leads = leader !== null && isSameInstance(leader, self);
-    if (leads && this.leadingSince === null) {
+    const isLeading = leader !== null && isSameInstance(leader, self);
+    if (isLeading && this.leadingSince === null) {
       this.leadingSince = clock();
       log.info({ token: leader.version }, "leadership acquired");
-    } else if (!leads) {
+    } else if (!isLeading) {
       if (this.leadingSince !== null) log.info({ leader: leader?.node ?? null }, "leadership lost");
       this.leadingSince = null;
     }
   }
 
-  /** How long this process has led, in milliseconds; 0 if it does not lead. */
+  /** How long this process has been the leader, in milliseconds; 0 if it is not the leader. */
   leadingForMs(now: number): number {
     return this.leadingSince === null ? 0 : now - this.leadingSince;
   }
 
-  /** Whether this process may acquire vacant leadership: not soon after it has resigned. */
-  mayLead(now: number): boolean {
-    return now >= this.abstainsUntil;
+  /** Whether this process may acquire vacant leadership: false during the cooldown after a resignation. */
+  canLead(now: number): boolean {
+    return now >= this.cooldownEndsAt;
   }
 
   /**
-   * Removes the leader's record if it still has the given version: a copy that is executed late removes no other leader's.
-   * Until the watch shows the removal this process may still lead, and what it writes as the leader is conditional on the
-   * same version.
+   * Removes the leader record if it still has the given version, so that a request that is executed late cannot remove
+   * another leader's record. Until the watch shows the removal, this process may continue to act as the leader: its
+   * writes as leader are conditional on the same version.
    */
   async resign(version: number): Promise<void> {
     const { state, clock, membershipLeaseMs, log, onTransactionEnded } = this.dependencies;
-    this.abstainsUntil = clock() + ABSTAIN_LEASES * membershipLeaseMs;
+    this.cooldownEndsAt = clock() + RESIGNATION_COOLDOWN_LEASES * membershipLeaseMs;
     try {
       const conditions = [{ key: keys.leader, version }];
       const result = await state.compareAndSwap(conditions, [{ remove: keys.leader }], "ownership");
-      if (result.ok) log.info({ version }, "leadership given up");
+      if (result.ok) log.info({ version }, "leadership resigned");
     } catch (err) {
-      log.debug({ err }, "leadership not known to be given up");
+      log.debug({ err }, "resignation failed or its outcome is unknown");
     } finally {
       onTransactionEnded();
     }
--- a/src/membership/membership-actions.ts
+++ b/src/membership/membership-actions.ts
@@ -1,4 +1,4 @@
-/** Carries out the actions that the membership planner has chosen, one after the other. */
+/** Executes the actions of the membership planner, one at a time. */
 import { StateStoreError } from "../state/state-store-error.js";
 import type { Cluster } from "./cluster-records.js";
 import type { TransactionDependencies } from "./membership-messages.js";
@@ -7,21 +7,21 @@
 
 type HandOverAction = Extract<MembershipAction, { kind: "request_hand_over" }>;
 
-/** What the execution of actions needs. */
+/** Dependencies of `MembershipActions`. */
 export interface MembershipActionDependencies extends TransactionDependencies {
-  /** The cluster as it is known when an action begins. */
+  /** Returns the latest known cluster; called when each action starts. */
   readonly currentCluster: () => Cluster;
-  /** The id of the membership lease when an action begins; null if there is none. */
+  /** Returns the id of the membership lease, or null if there is none; called when each action starts. */
   readonly currentLeaseId: () => number | null;
-  /** Passes a request to hand a shard over on to its owner. */
+  /** Forwards a hand-over request to the owner of the shard. */
   readonly requestHandOver: (action: HandOverAction) => void;
 }
 
-/** Carries out membership actions. */
+/** Executes membership actions as transactions on the state store or as requests to other controllers. */
 export class MembershipActions {
   constructor(private readonly dependencies: MembershipActionDependencies) {}
 
-  /** Carries out all actions; one that fails does not keep the next ones from being tried. */
+  /** Executes all actions in order; the failure of one action is logged and does not stop the others. */
   async performAll(actions: MembershipAction[]): Promise<void> {
     const { log, onTransactionEnded } = this.dependencies;
     for (const action of actions) {
--- a/src/membership/membership-lease.ts
+++ b/src/membership/membership-lease.ts
@@ -1,27 +1,27 @@
 /**
- * This process's membership lease: acquires it, renews it, and knows how long it can be proven to last. Another
- * controller may be given this process's shards only after the lease has ended in the state store, which is never before
- * it has ended here.
+ * Acquires and renews this process's membership lease, and tracks until when it is guaranteed to be valid. The leader
+ * assigns the shards of this process to another controller only after the lease has expired in the state store; the
+ * expiry tracked here is never later than that.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { StateStoreClient } from "../state/state-store-client.js";
-import { receivedResponse } from "../state/state-store-error.js";
+import { hasResponse } from "../state/state-store-error.js";
 import { CLOCK_DRIFT } from "../wire/index.js";
 import { isSameInstance, type ControllerInstance, type ControllerRecord } from "./cluster-records.js";
 import type { MembershipTimings } from "./membership-messages.js";
 import { joinTransaction } from "./membership-transactions.js";
 import { leaseRefusal, type LeaseEvidence } from "./shard-authority.js";
 
-/** How many renewals may be in flight at once. */
-const MAX_RENEWALS = 3;
+/** The maximum number of renewals and probes in flight. */
+const MAX_RENEWALS_IN_FLIGHT = 3;
 
-/** How often a lease is renewed within its length. */
+/** How many times the lease is renewed within one lease duration. */
 const RENEWALS_PER_LEASE = 5;
 
-/** What the membership lease is made from. */
+/** Dependencies of `MembershipLease`. */
 export interface MembershipLeaseDependencies {
   readonly self: ControllerInstance;
   readonly timings: MembershipTimings;
@@ -29,76 +29,81 @@
   readonly view: ReplicaView;
   readonly clock: SteadyClock;
   readonly log: Logger;
-  /** Called when the state store has ended the lease. */
+  /** Called when the lease is found to have expired in the state store. */
   readonly onEnded: () => void;
 }
 
 /** Acquires and renews the membership lease of this process. */
 export class MembershipLease {
   private leaseId: number | null = null;
-  /** Steady time up to which the lease can be proven. */
+  /** Monotonic time until which the lease is guaranteed to be valid. */
   private validUntil = -Infinity;
-  /** The revision at which this process last joined: older views say nothing about what it owns. */
+  /** The revision at which this process last joined: an older replica does not show which shards it owns. */
   private joinedAtRevision = Infinity;
-  private joining = false;
-  /** Renewals without an answer so far: a slow state store must not keep the next one from being sent. */
+  private isJoining = false;
+  /**
+   * Renewals and probes in flight. More than one is allowed, so that a slow state store does not delay the next one.
+   */
   private pendingRenewals = 0;
   private lastRenewalAt = -Infinity;
-  /** Whether the last renewal that ended got no answer, so that the state store may have renewed the lease all the same. */
-  private renewalUnanswered = false;
+  /** Whether the last completed renewal or probe got no response: a renewal may have been executed nevertheless. */
+  private isRenewalOutcomeUnknown = false;
 
   constructor(private readonly dependencies: MembershipLeaseDependencies) {}
 
-  /** The id of the lease in the state store; null if this process has none. */
+  /** The id of the lease in the state store; null if this process holds no lease. */
   get id(): number | null {
     return this.leaseId;
   }
 
-  /** How far the lease and the replica carry decisions at present. */
+  /** The current state of the lease and the age of the replica, on which decisions about shard authority are based. */
   evidence(): LeaseEvidence {
     const { clock, view, timings } = this.dependencies;
     const now = clock();
     return {
       leaseLeftMs: this.validUntil - now,
       viewAgeMs: now - view.completeAsOf,
-      hasViewReachedJoin: this.viewShowsJoin(),
+      hasViewReachedJoin: this.hasViewReachedJoin(),
       maxViewAgeMs: timings.maxViewAgeMs,
     };
   }
 
-  /** Whether the lease can be proven to last, on a replica that is new enough. */
+  /** Whether the lease is guaranteed to be valid and the replica is recent enough to act on. */
   isHeld(): boolean {
     return leaseRefusal(this.evidence()) === null;
   }
 
-  /** Acquires the lease if there is none, or renews it if that is due. */
+  /** Acquires the lease if there is none, or renews it if a renewal is due. */
   maintain(): void {
     if (this.leaseId === null) {
-      if (!this.joining) void this.join();
+      if (!this.isJoining) void this.join();
       return;
     }
     const now = this.dependencies.clock();
     const renewalIntervalMs = this.dependencies.timings.membershipLeaseMs / RENEWALS_PER_LEASE;
-    if (this.pendingRenewals >= MAX_RENEWALS || now - this.lastRenewalAt < renewalIntervalMs) return;
-    if (this.renewalUnanswered && now >= this.validUntil) void this.awaitStateStore();
+    if (this.pendingRenewals >= MAX_RENEWALS_IN_FLIGHT || now - this.lastRenewalAt < renewalIntervalMs)
+      return;
+    if (this.isRenewalOutcomeUnknown && now >= this.validUntil) void this.probeStateStore();
     else void this.renew(this.leaseId);
   }
 
-  /** Forgets a lease that has ended. */
+  /** Discards a lease that has expired. */
   clear(): void {
     this.leaseId = null;
     this.validUntil = -Infinity;
   }
 
-  /** Checks the lease against this node's member record: the state store removes the record when it ends the lease. */
+  /**
+   * Detects the loss of the lease from this node's member record, which the state store removes when the lease expires.
+   */
   checkRecord(member: ControllerRecord | undefined): void {
     const { self, log, onEnded } = this.dependencies;
-    if (this.leaseId === null || !this.viewShowsJoin() || isSameInstance(member, self)) return;
-    log.info("membership record removed");
+    if (this.leaseId === null || !this.hasViewReachedJoin() || isSameInstance(member, self)) return;
+    log.info("member record no longer names this process");
     onEnded();
   }
 
-  private viewShowsJoin(): boolean {
+  private hasViewReachedJoin(): boolean {
     return this.dependencies.view.revision >= this.joinedAtRevision;
   }
 
@@ -109,12 +114,12 @@
 
   private async join(): Promise<void> {
     const { self, timings, state, clock, log } = this.dependencies;
-    this.joining = true;
+    this.isJoining = true;
     try {
       const sentAt = clock();
       const leaseId = await state.grantLease(timings.membershipLeaseMs);
-      const known = await state.read(keys.member(self.node));
-      const { conditions, writes } = joinTransaction(self, leaseId, known?.version ?? 0);
+      const memberEntry = await state.read(keys.member(self.node));
+      const { conditions, writes } = joinTransaction(self, leaseId, memberEntry?.version ?? 0);
       const result = await state.compareAndSwap(conditions, writes, "ownership");
       if (!result.ok) return;
       this.leaseId = leaseId;
@@ -125,7 +130,7 @@
     } catch (err) {
       log.debug({ err }, "membership lease not acquired");
     } finally {
-      this.joining = false;
+      this.isJoining = false;
     }
   }
 
@@ -136,43 +141,43 @@
     this.lastRenewalAt = sentAt;
     try {
       const renewed = await state.renewLease(leaseId);
-      this.renewalUnanswered = false;
+      this.isRenewalOutcomeUnknown = false;
       if (renewed) {
         this.validUntil = Math.max(this.validUntil, this.expiryOf(sentAt));
       } else if (leaseId === this.leaseId) {
-        log.info("membership lease ended");
+        log.info("membership lease expired");
         onEnded();
       }
     } catch (err) {
       log.debug({ err }, "membership lease renewal failed");
-      this.renewalUnanswered = !receivedResponse(err);
-      // After an outage every lease has its full length again, and the sooner it is proven, the sooner work goes on: the
-      // next renewal is due after a twentieth of the lease in place of a fifth.
-      const broughtForwardMs = (timings.membershipLeaseMs * 3) / 20;
-      this.lastRenewalAt = Math.min(this.lastRenewalAt, sentAt - broughtForwardMs);
+      this.isRenewalOutcomeUnknown = !hasResponse(err);
+      // The state store restores every lease to its full duration after an outage. To resume work soon, the next
+      // renewal is due after a twentieth of the lease duration instead of a fifth.
+      const retryAdvanceMs = (timings.membershipLeaseMs * 3) / 20;
+      this.lastRenewalAt = Math.min(this.lastRenewalAt, sentAt - retryAdvanceMs);
     } finally {
       this.pendingRenewals--;
     }
   }
 
   /**
-   * Waits until the state store answers, without renewing the lease. Guards against holding shards that this process may
-   * not act for: while requests reach the state store and answers do not come back, each renewal would keep the lease
-   * from ending, and no other controller could take its shards over. Once the lease can no longer be proven here it is
-   * left to end, until some answer shows that a renewal can be proven again.
+   * Checks whether the state store responds, without renewing the lease. If requests reach the state store but
+   * responses are lost, each renewal would extend a lease that this process cannot rely on: it could not act for its
+   * shards, and no other controller could take them over. Once the lease has expired locally it is therefore not
+   * renewed until a response arrives.
    */
-  private async awaitStateStore(): Promise<void> {
+  private async probeStateStore(): Promise<void> {
     const { state, clock } = this.dependencies;
     this.pendingRenewals++;
     this.lastRenewalAt = clock();
     try {
       await state.currentRevision();
-      this.renewalUnanswered = false;
+      this.isRenewalOutcomeUnknown = false;
     } catch (err) {
-      this.renewalUnanswered = !receivedResponse(err);
+      this.isRenewalOutcomeUnknown = !hasResponse(err);
     } finally {
       this.pendingRenewals--;
     }
-    if (!this.renewalUnanswered) this.lastRenewalAt = -Infinity;
+    if (!this.isRenewalOutcomeUnknown) this.lastRenewalAt = -Infinity;
   }
 }
--- a/src/membership/membership-messages.ts
+++ b/src/membership/membership-messages.ts
@@ -1,17 +1,19 @@
-/** The messages of the membership actor, what it needs of the rest of the process, and its timings. */
+/** The messages, callbacks, timings and shared dependencies of the membership actor. */
 import type { Logger } from "../runtime/log.js";
 import type { StateStoreClient } from "../state/state-store-client.js";
 import type { ControllerInstance } from "./cluster-records.js";
 
-/** Durations of the membership, in milliseconds. */
+/** Durations that the membership actor works with, in milliseconds. */
 export interface MembershipTimings {
-  /** How long the state store keeps this process's records without a renewal. */
+  /** The duration of the membership lease: without a renewal, the state store then removes this process's records. */
   membershipLeaseMs: number;
-  /** What is subtracted from the lease on this side for the time between a check and the action that relies on it. */
+  /**
+   * Subtracted from the lease on the client side, for the delay between a lease check and the action that relies on it.
+   */
   marginMs: number;
-  /** The oldest view of the records on which a worker's lease may still be renewed. */
+  /** A worker's lease is not renewed on a replica of this age or older. */
   maxViewAgeMs: number;
-  /** The least time between two hand-overs that only balance the load of the controllers. */
+  /** The minimum time between two hand-overs that only balance the load of the controllers. */
   shardMovePeriodMs: number;
 }
 
@@ -21,28 +23,28 @@
   | { kind: "records_changed" }
   | { kind: "lease_ended" }
   | { kind: "transaction_ended" }
-  /** A worker follows a higher token than that of its shard. */
+  /** A worker has seen a higher fencing token than the shard's current one. */
   | { kind: "advance_token"; shard: number }
-  /** Another controller, named by its node, shall own the shard. */
+  /** Requests that this process hand the shard over to the controller on the node `successor`. */
   | { kind: "hand_over"; shard: number; successor: string }
-  /** Another controller is better placed to lead. */
+  /** Requests that this process give up leadership, because another controller is better placed to lead. */
   | { kind: "resign" };
 
-/** What the membership needs of the rest of the process. */
+/** Callbacks from the membership actor to the rest of the process. */
 export interface MembershipCallbacks {
-  /** The shards that this process owns may have changed. */
+  /** Called when the set of shards that this process owns may have changed. */
   onOwnershipChanged(): void;
-  /** Asks the owner of a shard to hand it over; both controllers are named by their nodes. */
+  /** Asks the owner of a shard to hand it over; `owner` and `successor` are node names. */
   requestHandOver(owner: string, shard: number, successor: string): void;
-  /** Whether it is known that no worker reaches the controller of a node. */
+  /** Whether it is known that no worker can reach the controller on a node. */
   isCutOffFromWorkers(node: string): boolean;
 }
 
-/** What the parts of the membership that write records are made from. */
+/** Dependencies of the classes that write membership records. */
 export interface TransactionDependencies {
   readonly self: ControllerInstance;
   readonly state: StateStoreClient;
   readonly log: Logger;
-  /** Called when a transaction has ended, whatever its outcome: the next one may begin. */
+  /** Called when a transaction has completed, whatever its outcome; the next one may then start. */
   readonly onTransactionEnded: () => void;
 }
--- a/src/membership/membership-planner.ts
+++ b/src/membership/membership-planner.ts
@@ -1,4 +1,4 @@
-/** Decides what a controller should do about leadership and the ownership of shards. Pure. */
+/** Plans the actions of one controller on leadership and shard ownership. Pure functions. */
 import {
   isSameInstance,
   type Cluster,
@@ -6,13 +6,13 @@
   type ControllerInstance,
 } from "./cluster-records.js";
 
-/** A step towards a cluster with a leader and an owner for every shard. */
+/** An action towards a cluster with a leader, a live owner for every shard, and a balanced load. */
 export type MembershipAction =
-  /** This process acquires leadership, which is vacant or that of an earlier life of its node. */
+  /** This process acquires leadership that is vacant or held by an earlier incarnation of its node. */
   | { kind: "lead"; formerLeader: ControllerRecord | null }
-  /** This process takes over a shard from an earlier life of its node. */
+  /** This process takes over a shard from an earlier incarnation of its node. */
   | { kind: "resume"; shard: number; record: ControllerRecord }
-  /** The leader gives a shard that has no live owner to a member. */
+  /** The leader assigns a shard without a live owner to a member. */
   | {
       kind: "assign";
       shard: number;
@@ -22,31 +22,38 @@
   /** The leader asks a live owner to hand a shard over to a controller that owns fewer. */
   | { kind: "request_hand_over"; shard: number; owner: string; successor: string };
 
-/** All that a decision on the membership is based on. */
+/** The input of `planMembership`. */
 export interface MembershipView {
   self: ControllerInstance;
   cluster: Cluster;
-  /** How many controllers the cluster is configured with. */
+  /** The number of controllers in the cluster's configuration. */
   controllers: number;
-  /** How long this process has led; 0 if it does not. */
+  /** How long this process has been the leader, in milliseconds; 0 if it is not the leader. */
   leadingForMs: number;
-  /** How long a leader waits for all controllers to join before it assigns shards that have never been owned. */
+  /**
+   * How long a leader waits for all controllers to join before it assigns shards that have never had an owner, in
+   * milliseconds.
+   */
   bootstrapGraceMs: number;
   /** Whether enough time has passed since the last hand-over for another one that only balances the load. */
-  mayMove: boolean;
-  /** Whether this process may acquire vacant leadership: not soon after it has resigned in favour of another. */
-  mayLead: boolean;
-  /** Whether it is known that no worker reaches a node's controller: it gets shards only if that is so of all. */
+  canRebalance: boolean;
+  /** Whether this process may acquire vacant leadership: false for a while after it has resigned. */
+  canLead: boolean;
+  /**
+   * Whether it is known that no worker can reach the controller on a node. Such a controller gets shards only if this
+   * applies to all members.
+   */
   isCutOffFromWorkers: (node: string) => boolean;
 }
 
-/** What this process should try to change about leadership and ownership. */
+/** Returns the actions that this process should attempt, in order; empty if nothing needs to change. */
 export function planMembership(view: MembershipView): MembershipAction[] {
   const { self, cluster } = view;
   const actions: MembershipAction[] = [];
-  // Guards against losing the time of a whole membership lease: a restarted process knows that its earlier life is over.
-  const ledBefore = cluster.leader?.node === self.node && !isSameInstance(cluster.leader, self);
-  if ((cluster.leader === null && view.mayLead) || ledBefore)
+  // A restarted process knows that its earlier incarnation has ended: it need not wait for that one's lease to expire.
+  const isLedByEarlierIncarnation =
+    cluster.leader?.node === self.node && !isSameInstance(cluster.leader, self);
+  if ((cluster.leader === null && view.canLead) || isLedByEarlierIncarnation)
     actions.push({ kind: "lead", formerLeader: cluster.leader });
   cluster.shards.forEach((record, shard) => {
     if (record !== null && record.node === self.node && !isSameInstance(record, self))
@@ -56,22 +63,22 @@
   return actions;
 }
 
-/** Assigns all shards without a live owner; only if there are none, it balances the load. */
+/** Assigns all shards that need an owner; if there are none, balances the load. */
 function planAsLeader(view: MembershipView): MembershipAction[] {
   const members = [...view.cluster.members.values()].sort((a, b) => (a.node < b.node ? -1 : 1));
   if (members.length === 0) return [];
   const load = new ShardLoad(members, view);
   const assignments = planAssignments(view, members.length, load);
-  if (assignments.length > 0 || !view.mayMove) return assignments;
-  return planBalancing(view.cluster, load);
+  if (assignments.length > 0 || !view.canRebalance) return assignments;
+  return planRebalancing(view.cluster, load);
 }
 
 function planAssignments(view: MembershipView, memberCount: number, load: ShardLoad): MembershipAction[] {
   const { cluster, controllers, leadingForMs, bootstrapGraceMs } = view;
   const actions: MembershipAction[] = [];
-  const mayBootstrap = memberCount >= controllers || leadingForMs >= bootstrapGraceMs;
+  const canBootstrap = memberCount >= controllers || leadingForMs >= bootstrapGraceMs;
   cluster.shards.forEach((formerOwner, shard) => {
-    const needsOwner = formerOwner === null ? mayBootstrap : !cluster.members.has(formerOwner.node);
+    const needsOwner = formerOwner === null ? canBootstrap : !cluster.members.has(formerOwner.node);
     if (!needsOwner) return;
     const successor = load.eligibleByLoad()[0]!;
     load.add(successor.node);
@@ -80,7 +87,7 @@
   return actions;
 }
 
-function planBalancing(cluster: Cluster, load: ShardLoad): MembershipAction[] {
+function planRebalancing(cluster: Cluster, load: ShardLoad): MembershipAction[] {
   const eligible = load.eligibleByLoad();
   const least = eligible[0]!;
   const most = eligible.at(-1)!;
@@ -89,10 +96,10 @@
   return [{ kind: "request_hand_over", shard, owner: most.node, successor: least.node }];
 }
 
-/** How many shards each member owns. */
+/** Counts the shards of each member and selects the members that may get more. */
 class ShardLoad {
   private readonly shardCounts: Map<string, number>;
-  /** The members that may be given shards, in the order of their nodes. */
+  /** The members that may get shards, sorted by node name. */
   private readonly eligible: ControllerRecord[];
 
   constructor(members: ControllerRecord[], { cluster, isCutOffFromWorkers }: MembershipView) {
@@ -111,7 +118,7 @@
     this.shardCounts.set(node, this.of(node) + 1);
   }
 
-  /** The members that may be given shards, those with the fewest first. */
+  /** The members that may get shards, those with the fewest shards first; ties are ordered by node name. */
   eligibleByLoad(): ControllerRecord[] {
     return [...this.eligible].sort((a, b) => this.of(a.node) - this.of(b.node));
   }
--- a/src/membership/membership-transactions.ts
+++ b/src/membership/membership-transactions.ts
@@ -1,6 +1,7 @@
 /**
- * The transactions that change membership records. Each is conditional on the versions that its decision was made on, so
- * that a copy that arrives late, from this process or an earlier one of its node, changes nothing.
+ * Builds the transactions that change membership records. Each is conditional on the record versions on which its
+ * decision was based, so that a delayed or duplicated request, from this process or from an earlier one on its node,
+ * has no effect.
  */
 import { keys } from "../state/keys.js";
 import type { Condition, Write } from "../wire/index.js";
@@ -12,7 +13,7 @@
 } from "./cluster-records.js";
 import type { MembershipAction } from "./membership-planner.js";
 
-/** Writes that are executed only if all conditions hold. */
+/** Writes that are executed atomically, and only if all conditions hold. */
 export interface ConditionalTransaction {
   conditions: Condition[];
   writes: Write[];
@@ -21,9 +22,9 @@
 type AssignAction = Extract<MembershipAction, { kind: "assign" }>;
 
 /**
- * Registers a controller as a member, under its membership lease.
- * @param knownVersion the version of the member's present record, 0 if there is none: a late copy of the registration of
- * an earlier life does not overwrite this one
+ * Registers a controller as a member, with its record attached to its membership lease.
+ * @param knownVersion the version of the node's current member record, 0 if there is none; with this condition, a
+ * delayed registration of an earlier incarnation cannot overwrite this one
  */
 export function joinTransaction(
   self: ControllerInstance,
@@ -37,7 +38,10 @@
   };
 }
 
-/** Hands a shard, whose record is `record`, over to a member that is still the instance it was chosen as. */
+/**
+ * Hands a shard, whose current record is `record`, over to `successor`, provided that the successor's member record has
+ * not changed since it was selected.
+ */
 export function handOverTransaction(
   shard: number,
   record: ControllerRecord,
@@ -53,7 +57,7 @@
   };
 }
 
-/** The transaction that carries out an action of this process. */
+/** Builds the transaction that executes an action of this process. */
 export function transactionFor(
   action: Exclude<MembershipAction, { kind: "request_hand_over" }>,
   self: ControllerInstance,
@@ -88,7 +92,8 @@
     { key, version: formerOwner?.version ?? 0 },
     { key: keys.member(successor.node), version: successor.version },
   ];
-  // The former owner's lease must have ended *when this is executed*; the former owner counts it as ended before that.
+  // The former owner's lease must have expired when the transaction is executed. The former owner stops acting before
+  // that, since its local lease expiry is earlier.
   if (formerOwner !== null) conditions.push({ key: keys.member(formerOwner.node), version: 0 });
   return { conditions, writes: [{ put: key, value: encodeController(successor) }] };
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,6 +1,6 @@
 /**
- * The membership actor: joins this process to the cluster, takes part in the election of the leader, acquires shards and
- * hands them over. It answers one question for the rest of the process: may this process act for a shard at present?
+ * The membership actor: joins this process to the cluster, takes part in leader election, acquires shards and hands
+ * them over. The rest of the process asks it whether this process may currently act for a shard.
  */
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
@@ -28,13 +28,13 @@
 import { ShardHandOver } from "./shard-hand-over.js";
 import { TokenAdvances } from "./token-advances.js";
 
-/** What the membership is made from. */
+/** Dependencies of `Membership`. */
 export interface MembershipDependencies {
-  /** This life of this controller. */
+  /** The controller instance that this process runs. */
   readonly self: ControllerInstance;
-  /** How many shards the cluster has. */
+  /** The number of shards in the cluster. */
   readonly shards: number;
-  /** How many controllers the cluster is configured with. */
+  /** The number of controllers in the cluster's configuration. */
   readonly controllers: number;
   readonly timings: MembershipTimings;
   readonly state: StateStoreClient;
@@ -44,15 +44,17 @@
   readonly log: Logger;
 }
 
-/** Maintains this process's membership and decides what it may act for. At most one transaction is under way at once. */
+/**
+ * Maintains this process's membership and decides for which shards it may act. Runs at most one transaction at a time.
+ */
 export class Membership extends Actor<MembershipMessage> {
   private knownCluster: Cluster;
   private readonly lease: MembershipLease;
-  private readonly leaderTerm: Leadership;
+  private readonly leadership: Leadership;
   private readonly tokenAdvances: TokenAdvances;
   private readonly handOvers: ShardHandOver;
   private readonly actions: MembershipActions;
-  private transactionPending = false;
+  private isTransactionPending = false;
   private lastHandOverAt = -Infinity;
 
   constructor(private readonly dependencies: MembershipDependencies) {
@@ -64,7 +66,7 @@
     const onTransactionEnded = (): void => void this.tell({ kind: "transaction_ended" });
     const transactions: TransactionDependencies = { self, state, log, onTransactionEnded };
     const { membershipLeaseMs, marginMs } = timings;
-    this.leaderTerm = new Leadership({ ...transactions, clock, membershipLeaseMs });
+    this.leadership = new Leadership({ ...transactions, clock, membershipLeaseMs });
     this.tokenAdvances = new TokenAdvances(transactions);
     this.handOvers = new ShardHandOver({ ...transactions, retryMs: marginMs });
     this.actions = new MembershipActions({
@@ -78,17 +80,17 @@
     });
   }
 
-  /** This life of this controller. */
+  /** The controller instance that this process runs. */
   get self(): ControllerInstance {
     return this.dependencies.self;
   }
 
-  /** The cluster as the records show it. */
+  /** The cluster as of the last change of records that this actor has processed. */
   get cluster(): Cluster {
     return this.knownCluster;
   }
 
-  /** Whether this process may act for a shard at present, and on what evidence. */
+  /** Whether this process may currently act for a shard, with the evidence for the decision. */
   authority(shard: number): ShardAuthority {
     const record = this.knownCluster.shards[shard];
     const token = record && isSameInstance(record, this.self) ? record.version : null;
@@ -99,33 +101,38 @@
     });
   }
 
-  /** The token of a shard if this process may act for it at present, otherwise null. */
+  /** The fencing token of a shard if this process may currently act for it, otherwise null. */
   token(shard: number): number | null {
     const authority = this.authority(shard);
     return authority.held ? authority.token : null;
   }
 
-  /** Whether what an owner knew of its shard at a version of the shard's record still holds at the present one. */
+  /**
+   * Whether state that an owner has kept since `knownVersion` of its shard's record is still valid at the current
+   * version.
+   */
   continuesTerm(shard: number, knownVersion: number): boolean {
     const record = this.knownCluster.shards[shard];
     if (record === null || record === undefined) return false;
     return this.tokenAdvances.continuesTerm(shard, knownVersion, record);
   }
 
-  /** The version of the leader's record if this process leads at present, otherwise null. */
+  /**
+   * The version of the leader record if this process is currently the leader and its lease is valid, otherwise null.
+   */
   leaderVersion(): number | null {
     const { leader } = this.knownCluster;
     if (leader === null || !isSameInstance(leader, this.self)) return null;
     return this.lease.isHeld() ? leader.version : null;
   }
 
-  /** The node of the live owner of a shard, as far as the records show; null if there is none. */
+  /** The node name of the shard's owner according to the known records; null if the owner is not a member. */
   owner(shard: number): string | null {
     const record = this.knownCluster.shards[shard];
     return record && this.knownCluster.members.has(record.node) ? record.node : null;
   }
 
-  /** The node of the leader, as far as the records show; null if there is none. */
+  /** The node name of the leader according to the known records; null if there is none. */
   leader(): string | null {
     return this.knownCluster.leader?.node ?? null;
   }
@@ -134,25 +141,26 @@
     switch (message.kind) {
       case "tick":
         this.lease.maintain();
-        this.takeActions();
+        this.startActions();
         return;
       case "records_changed":
         this.updateCluster();
-        this.takeActions();
+        this.startActions();
         return;
       case "lease_ended":
         this.lease.clear();
         this.lease.maintain();
         return;
       case "transaction_ended":
-        this.transactionPending = false;
+        this.isTransactionPending = false;
         this.startRequestedHandOver();
         return;
       case "advance_token":
         this.startTokenAdvance(message.shard);
         return;
       case "hand_over":
-        // Guards against a leader that owns every shard and never hands one over: it asks itself while it carries out actions.
+        // The request is queued, since a leader that is also the owner sends it to itself while its actions are
+        // running. If it were dropped then, a leader that owns every shard would never hand one over.
         this.handOvers.request({ shard: message.shard, successor: message.successor });
         this.startRequestedHandOver();
         return;
@@ -165,58 +173,60 @@
   private updateCluster(): void {
     const { view, shards, clock, callbacks } = this.dependencies;
     const cluster = readCluster(view, shards);
-    // Guards against moving a shard straight back to the controller that has just handed it over: the period counts from
-    // every hand-over.
+    // The shard move period restarts at every observed hand-over, so that no shard is moved straight back to the
+    // controller that has handed it over.
     if (hasShardHandOver(this.knownCluster, cluster)) this.lastHandOverAt = clock();
     this.knownCluster = cluster;
-    this.leaderTerm.update(cluster.leader);
+    this.leadership.update(cluster.leader);
     this.handOvers.forgetLostShards(cluster);
     this.lease.checkRecord(cluster.members.get(this.self.node));
     callbacks.onOwnershipChanged();
   }
 
-  private takeActions(): void {
-    if (this.transactionPending || !this.lease.isHeld()) return;
+  private startActions(): void {
+    if (this.isTransactionPending || !this.lease.isHeld()) return;
     const { self, controllers, timings, clock, callbacks } = this.dependencies;
     const now = clock();
     const actions = planMembership({
       self,
       cluster: this.knownCluster,
       controllers,
-      leadingForMs: this.leaderTerm.leadingForMs(now),
+      leadingForMs: this.leadership.leadingForMs(now),
       bootstrapGraceMs: timings.membershipLeaseMs,
-      mayMove: now - this.lastHandOverAt >= timings.shardMovePeriodMs,
-      mayLead: this.leaderTerm.mayLead(now),
+      canRebalance: now - this.lastHandOverAt >= timings.shardMovePeriodMs,
+      canLead: this.leadership.canLead(now),
       isCutOffFromWorkers: (node) => callbacks.isCutOffFromWorkers(node),
     });
     if (actions.length === 0) return;
-    this.transactionPending = true;
+    this.isTransactionPending = true;
     void this.actions.performAll(actions);
   }
 
-  /** A worker follows a higher token than this shard's, for example with a machine that was another shard's before. */
+  /**
+   * Advances the token when a worker has seen a higher one, for example on a machine that belonged to another shard.
+   */
   private startTokenAdvance(shard: number): void {
     const record = this.knownCluster.shards[shard];
-    if (!record || this.token(shard) === null || this.transactionPending) return;
-    this.transactionPending = true;
+    if (!record || this.token(shard) === null || this.isTransactionPending) return;
+    this.isTransactionPending = true;
     void this.tokenAdvances.advance(shard, record.version);
   }
 
   private startResignation(): void {
     const version = this.leaderVersion();
-    if (version === null || this.transactionPending) return;
-    this.transactionPending = true;
-    void this.leaderTerm.resign(version);
+    if (version === null || this.isTransactionPending) return;
+    this.isTransactionPending = true;
+    void this.leadership.resign(version);
   }
 
   private startRequestedHandOver(): void {
-    if (this.transactionPending) return;
+    if (this.isTransactionPending) return;
     const request = this.handOvers.takeRequest();
     if (request === null) return;
     const record = this.knownCluster.shards[request.shard];
     const successor = this.knownCluster.members.get(request.successor);
     if (!record || !successor || this.token(request.shard) === null) return;
-    this.transactionPending = true;
+    this.isTransactionPending = true;
     void this.handOvers.handOver(request.shard, record, successor);
   }
 }
--- a/src/membership/shard-hand-over.ts
+++ b/src/membership/shard-hand-over.ts
@@ -1,6 +1,6 @@
 /**
- * Hands shards of this process over to other controllers. The owner stops acting first and writes second, so that it has
- * stopped by the time the new owner reads its own name in the record.
+ * Hands shards of this process over to other controllers. The owner stops acting for a shard before it writes the new
+ * owner, so that it has stopped before the new owner sees the record.
  */
 import { sleep } from "../runtime/sleep.js";
 import { keys } from "../state/keys.js";
@@ -14,23 +14,23 @@
 import type { TransactionDependencies } from "./membership-messages.js";
 import { handOverTransaction } from "./membership-transactions.js";
 
-/** A shard that is to be handed over, and the node of the controller that is to own it. */
+/** A request to hand a shard over to the controller on the node `successor`. */
 export interface HandOverRequest {
   shard: number;
   successor: string;
 }
 
-/** What hand-overs are made from. */
+/** Dependencies of `ShardHandOver`. */
 export interface ShardHandOverDependencies extends TransactionDependencies {
-  /** The pause, in milliseconds, before the outcome of a hand-over is looked up again. */
+  /** The delay before another attempt to determine the outcome of a hand-over, in milliseconds. */
   readonly retryMs: number;
 }
 
-/** Keeps the shards that this process hands over, and carries the hand-overs out. */
+/** Executes hand-overs, and tracks the shards for which this process has stopped acting. */
 export class ShardHandOver {
-  /** The latest request: it is carried out as soon as no transaction is under way. */
-  private requested: HandOverRequest | null = null;
-  /** Shards that this process owns, or may own, and does not act for any more. */
+  /** The latest request; it is executed as soon as no transaction is in progress. */
+  private pendingRequest: HandOverRequest | null = null;
+  /** Shards that this process owns, or may still own, but no longer acts for. */
   private readonly relinquishedShards = new Set<number>();
 
   constructor(private readonly dependencies: ShardHandOverDependencies) {}
@@ -40,26 +40,32 @@
     return this.relinquishedShards.has(shard);
   }
 
-  /** Keeps a request, in place of an earlier one that has not been taken. */
+  /** Stores a request; it replaces an earlier one that has not been taken. */
   request(request: HandOverRequest): void {
-    this.requested = request;
+    this.pendingRequest = request;
   }
 
-  /** Returns the request that is kept, and forgets it; null if there is none. */
+  /** Returns and removes the pending request; null if there is none. */
   takeRequest(): HandOverRequest | null {
-    const request = this.requested;
-    this.requested = null;
+    const request = this.pendingRequest;
+    this.pendingRequest = null;
     return request;
   }
 
-  /** Forgets shards that another controller owns by now: should they come back, they are acted for again. */
+  /**
+   * Stops tracking shards that another controller owns now, so that this process acts for them again if it gets them
+   * back.
+   */
   forgetLostShards(cluster: Cluster): void {
     for (const shard of this.relinquishedShards)
       if (!isSameInstance(cluster.shards[shard], this.dependencies.self))
         this.relinquishedShards.delete(shard);
   }
 
-  /** Hands a shard over. Until the outcome is known, this process does not act for it. */
+  /**
+   * Hands a shard over. From the call on, this process does not act for the shard unless the hand-over is known to have
+   * failed.
+   */
   async handOver(shard: number, record: ControllerRecord, successor: ControllerRecord): Promise<void> {
     const { state, log, onTransactionEnded } = this.dependencies;
     this.relinquishedShards.add(shard);
@@ -69,24 +75,24 @@
       if (result.ok) log.info({ shard, to: successor.node, token: result.revision }, "shard handed over");
       else this.relinquishedShards.delete(shard);
     } catch {
-      // The write may yet be executed. Only a newer version of the record, written by this process, rules that out.
+      // The write may still be executed. A newer version of the record, written by this process, prevents that.
       await this.resolveOutcome(shard);
     }
     onTransactionEnded();
   }
 
-  /** Returns once another controller is known to own the shard, or the hand-over to have failed for good. */
+  /** Returns once another controller is known to own the shard, or the hand-over can no longer be executed. */
   private async resolveOutcome(shard: number): Promise<void> {
     const { self, state, retryMs } = this.dependencies;
     const key = keys.shard(shard);
-    for (let resolved = false; !resolved;) {
+    for (let isResolved = false; !isResolved;) {
       try {
         const entry = await state.read(key);
         if (entry === null || !isSameInstance(decodeController(entry.value), self)) return;
         const conditions = [{ key, version: entry.version }];
         const writes = [{ put: key, value: encodeController(self) }];
-        resolved = (await state.compareAndSwap(conditions, writes, "ownership")).ok;
-        if (resolved) this.relinquishedShards.delete(shard);
+        isResolved = (await state.compareAndSwap(conditions, writes, "ownership")).ok;
+        if (isResolved) this.relinquishedShards.delete(shard);
       } catch {
         await sleep(retryMs);
       }
--- a/src/membership/token-advances.ts
+++ b/src/membership/token-advances.ts
@@ -1,21 +1,23 @@
-/** Advances of a shard's fencing token by its owner, and whether an owner may keep its state over a change of token. */
+/** Advances a shard's fencing token for its owner, and decides whether the owner's state survives a change of token. */
 import { keys } from "../state/keys.js";
 import { encodeTokenAdvance, type ControllerRecord } from "./cluster-records.js";
 import type { TransactionDependencies } from "./membership-messages.js";
 
-/** An advance that an owner has tried: the token rises if it succeeds, and the owner stays. */
+/** An attempt of an owner to raise its shard's fencing token while it remains the owner. */
 export interface TokenAdvance {
   /** The version of the shard's record that the advance is conditional on. */
   fromVersion: number;
-  /** Identifies the write: no other has the same id. */
+  /** Identifies the write; unique to this advance and its retries. */
   advanceId: string;
 }
 
 /**
- * Whether an owner that knew its shard's record at one version may keep its state now that it is at another. Guards
- * against `ran_twice`: a process that was cut off for a while may find itself the owner again without having seen that
- * another controller was the owner in between. Only an advance of its own, on the version that it knew, leaves no such gap. The
- * advance is recognised by its id, since the watch may show it before the write is answered, or without an answer at all.
+ * Whether an owner whose state dates from `knownVersion` of its shard's record may keep that state at the current
+ * version. A process that was disconnected for a while may own the shard again without having seen that another
+ * controller owned it in between; keeping its state could then run a task twice (the violation `ran_twice`). The state
+ * is kept only if the version is unchanged, or if the current one was written by the owner's own advance on
+ * `knownVersion`. The advance is recognised by its id, since the watch may show it before the write is answered, or the
+ * response may be lost.
  */
 export function continuesTerm(
   knownVersion: number,
@@ -26,18 +28,18 @@
   return advance?.fromVersion === knownVersion && advance.advanceId === record.advanceId;
 }
 
-/** Advances the tokens of own shards, and remembers the last try for each. */
+/** Advances the fencing tokens of shards that this process owns, and remembers the last attempt for each shard. */
 export class TokenAdvances {
   private readonly lastAdvances = new Map<number, TokenAdvance>();
 
   constructor(private readonly dependencies: TransactionDependencies) {}
 
-  /** Whether what an owner knew of its shard at a version still holds at the present record. */
+  /** Whether state that an owner has kept since `knownVersion` is still valid at the current record. */
   continuesTerm(shard: number, knownVersion: number, record: ControllerRecord): boolean {
     return continuesTerm(knownVersion, record, this.lastAdvances.get(shard));
   }
 
-  /** Advances the token of an own shard, whose record has the given version. */
+  /** Advances the fencing token of a shard that this process owns, whose record has the given version. */
   async advance(shard: number, version: number): Promise<void> {
     const { self, state, log, onTransactionEnded } = this.dependencies;
     const { advanceId } = this.nextAdvance(shard, version);
@@ -51,15 +53,15 @@
       if (!result.ok) return;
       log.info({ shard, token: result.revision }, "fencing token advanced");
     } catch (err) {
-      log.debug({ err, shard }, "fencing token not advanced");
+      log.debug({ err, shard }, "fencing token advance failed or its outcome is unknown");
     } finally {
       onTransactionEnded();
     }
   }
 
   /**
-   * A retry on the same version has the same id. Guards against not recognising an earlier try that succeeded: the watch
-   * may show it only after the retry has failed.
+   * Returns the next attempt. A retry on the same version reuses the id, so that an earlier attempt that succeeded is
+   * still recognised: the watch may show it only after the retry has failed.
    */
   private nextAdvance(shard: number, version: number): TokenAdvance {
     const last = this.lastAdvances.get(shard);
--- a/src/state/read-barrier.ts
+++ b/src/state/read-barrier.ts
@@ -1,7 +1,7 @@
 /**
- * The read barrier: makes sure that this controller's replica is at least as new as any answer that any controller has
- * given. One small read serves all callers that have come before it is sent, so that its cost does not grow with the
- * number of users.
+ * The read barrier: ensures that this controller's replica is at least as new as any response that any controller has
+ * given before. One small read serves all callers that are waiting when it is sent, so that the cost does not grow with
+ * the number of users.
  */
 import type { StateStoreClient } from "./state-store-client.js";
 import { StateStoreError } from "./state-store-error.js";
@@ -12,33 +12,33 @@
   reject: (err: Error) => void;
 }
 
-/** Waits until the replica has reached the state store's revision at the time of the call. */
+/** Delays reads until the replica has reached the revision that the state store had at the time of the call. */
 export class ReadBarrier {
   private waiters: Waiter[] = [];
-  private reading = false;
+  private isReading = false;
 
   constructor(
     private readonly state: Pick<StateStoreClient, "currentRevision">,
     private readonly replica: Pick<Replica, "waitForRevision">,
     /** How long the replica may take to reach the revision that was read, in milliseconds. */
-    private readonly queueTimeoutMs: number,
+    private readonly catchUpTimeoutMs: number,
   ) {}
 
   /**
-   * Resolves once the replica holds all that was durable when this was called.
-   * @throws StateStoreError if the state store does not answer or the replica does not catch up in time.
+   * Resolves once the replica contains everything that was durable at the time of the call.
+   * @throws StateStoreError if the state store does not respond or the replica does not catch up in time.
    */
   waitUntilCurrent(): Promise<void> {
     return new Promise((resolve, reject) => {
       this.waiters.push({ resolve, reject });
-      if (!this.reading) void this.serveWaiters();
+      if (!this.isReading) void this.serveWaiters();
     });
   }
 
   private async serveWaiters(): Promise<void> {
-    this.reading = true;
+    this.isReading = true;
     while (this.waiters.length > 0) {
-      // A read serves only those who have come before it is sent.
+      // A read serves only the callers that were waiting before it was sent: a later one may need a newer revision.
       const served = this.waiters;
       this.waiters = [];
       try {
@@ -48,15 +48,19 @@
         for (const { reject } of served) reject(err as Error);
       }
     }
-    this.reading = false;
+    this.isReading = false;
   }
 
   private async waitForRevision(revision: number): Promise<void> {
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<never>((_, reject) => {
       timer = setTimeout(() => {
-        reject(new StateStoreError("replica is behind the state store", { outcome: "rejected" }));
-      }, this.queueTimeoutMs);
+        reject(
+          new StateStoreError("timed out waiting for the replica to catch up with the state store", {
+            outcome: "rejected",
+          }),
+        );
+      }, this.catchUpTimeoutMs);
     });
     try {
       await Promise.race([this.replica.waitForRevision(revision), timeout]);
--- a/src/state/replica.ts
+++ b/src/state/replica.ts
@@ -1,34 +1,34 @@
-/** This controller's replica of the live records: the watch writes it, all other modules read it. */
+/** This controller's replica of the live records: written by the watch, read by all other modules. */
 import { Writable } from "node:stream";
 import type { RecordChange, RecordEntry } from "../wire/index.js";
 import type { WatchEvent } from "./watch.js";
 import { LIVE_PREFIX } from "./keys.js";
 
-/** What other modules may read of the replica. */
+/** Read access to the replica. */
 export interface ReplicaView {
-  /** The state store's revision that the replica has reached; 0 before the first listing. */
+  /** The state store revision that the replica has reached; 0 before the first listing. */
   readonly revision: number;
-  /** Steady time up to which this view surely holds everything durable; -Infinity before the first listing. */
+  /** Monotonic time: this view contains everything durable by then; -Infinity before the first listing. */
   readonly completeAsOf: number;
   get(key: string): RecordEntry | undefined;
   /** All entries under a prefix of `keys.ts`, in no particular order. */
   list(prefix: string): RecordEntry[];
 }
 
-/** Called after each batch of changes; `null` means that every record may have changed. */
+/** Called after each batch of changes; `null` means that any record may have changed. */
 export type ReplicaListener = (changes: RecordChange[] | null) => void;
 
-/** A reader that waits until the replica has reached a revision. */
+/** A caller of `waitForRevision`. */
 interface RevisionWaiter {
   revision: number;
   resolve(): void;
 }
 
-/** This controller's replica of the live records. */
+/** A replica of the live records, updated by the events of the watch that is piped into it. */
 export class Replica extends Writable implements ReplicaView {
   revision = 0;
   completeAsOf = -Infinity;
-  /** By kind of record, then by key: a listing of one kind does not pass over the others. */
+  /** By kind of record, then by key, so that listing one kind does not scan the others. */
   private entriesByKind = new Map<string, Map<string, RecordEntry>>();
   private readonly changeListeners: ReplicaListener[] = [];
   private revisionWaiters: RevisionWaiter[] = [];
@@ -37,40 +37,40 @@
     super({ objectMode: true, highWaterMark: 1 });
   }
 
-  /** The record of a key; undefined where the replica has none. */
+  /** The record with the given key; undefined if the replica has none. */
   get(key: string): RecordEntry | undefined {
     return this.entriesByKind.get(kindOf(key))?.get(key);
   }
 
   list(prefix: string): RecordEntry[] {
-    const found: RecordEntry[] = [];
+    const matches: RecordEntry[] = [];
     for (const entry of this.entriesByKind.get(kindOf(prefix))?.values() ?? [])
-      if (entry.key.startsWith(prefix)) found.push(entry);
-    return found;
+      if (entry.key.startsWith(prefix)) matches.push(entry);
+    return matches;
   }
 
-  /** Resolves once the replica has reached the revision. There is no timeout: callers set their own. */
+  /** Resolves once the replica has reached the revision. There is no timeout; callers set their own. */
   waitForRevision(revision: number): Promise<void> {
     if (this.revision >= revision) return Promise.resolve();
     return new Promise((resolve) => this.revisionWaiters.push({ revision, resolve }));
   }
 
-  /** Calls the listener after each event of the watch. */
+  /** Registers a listener that is called after each event of the watch. */
   onChange(listener: ReplicaListener): void {
     this.changeListeners.push(listener);
   }
 
-  /** Applies one watch event; called by the stream, in order. */
-  override _write(event: WatchEvent, _encoding: string, done: () => void): void {
+  /** Applies one watch event; the stream calls this in the order of events. */
+  override _write(event: WatchEvent, _encoding: string, callback: () => void): void {
     const changes = this.applyEvent(event);
     this.revision = Math.max(this.revision, event.revision);
     this.completeAsOf = Math.max(this.completeAsOf, event.completeAsOf);
     for (const listener of this.changeListeners) listener(changes);
     this.resolveRevisionWaiters();
-    done();
+    callback();
   }
 
-  /** The changes that took effect; null if every record may have changed. */
+  /** Applies an event and returns the changes that took effect; null if any record may have changed. */
   private applyEvent(event: WatchEvent): RecordChange[] | null {
     switch (event.kind) {
       case "reset":
@@ -88,9 +88,12 @@
     for (const waiter of waiters) if (waiter.revision <= this.revision) waiter.resolve();
   }
 
-  /** Changes since the first page of a listing may be older than what a later page showed: the higher version wins. */
+  /**
+   * Applies a change unless the replica has a record of the same or a higher version: changes are replayed from the
+   * first page of a listing on, and a later page may already contain newer records.
+   */
   private applyChange(change: RecordChange): boolean {
-    // Ended jobs are not part of the replica; listeners that keep them get the change.
+    // Records of ended jobs are not stored in the replica, but the change is passed on to listeners that need it.
     if (!change.key.startsWith(LIVE_PREFIX)) return true;
     const known = this.get(change.key);
     if (known !== undefined && known.version >= change.version) return false;
@@ -108,7 +111,7 @@
   }
 }
 
-/** The part of a live key or prefix that names the kind of record. */
+/** The path segment after the live prefix, which identifies the kind of record. */
 function kindOf(key: string): string {
   const end = key.indexOf("/", LIVE_PREFIX.length);
   return key.slice(LIVE_PREFIX.length, end < 0 ? undefined : end);
--- a/src/state/shared-write-rate.ts
+++ b/src/state/shared-write-rate.ts
@@ -1,17 +1,18 @@
 /**
- * This controller's share of the state store's write rate, which all controllers use together. There is no
- * coordination: each controller sees everybody's writes in the watch and uses what the others leave.
+ * This controller's share of the state store's write rate limit, which applies to all controllers together. The
+ * controllers do not coordinate: each one observes all writes in the watch and uses the rate that the others leave.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import { RateLimiter, type PriorityReserve } from "../runtime/rate-limiter.js";
 
 /**
- * The priority of a write, from the highest to the lowest: leases, ownership and commands; what users wait for; ended
- * jobs; notes about machines and completed tasks, which may be delayed without harm.
+ * The priority of a write, from highest to lowest. `ownership`: leases, ownership and commands; `user`: writes that
+ * users wait for; `result`: ended jobs; `background`: updates on machines and completed tasks, which can be delayed
+ * without harm.
  */
 export type WritePriority = "ownership" | "user" | "result" | "background";
 
-/** The part of the burst that each priority leaves to those above it. */
+/** The fraction of the burst that each priority leaves to the higher ones. */
 const BURST_RESERVES: readonly PriorityReserve<WritePriority>[] = [
   { priority: "ownership", reserve: 0 },
   { priority: "user", reserve: 0.1 },
@@ -19,13 +20,13 @@
   { priority: "background", reserve: 0.4 },
 ];
 
-/** A controller may always use this part of an equal share, whatever the others seem to use. */
+/** The fraction of an equal share that a controller may always use, whatever rate is observed for the others. */
 const MIN_RATE_SHARE = 0.7;
 
-/** Time constant of the exponential decay with which past writes count towards the present rate, in milliseconds. */
+/** Time constant of the exponential decay by which past writes count towards the current rate, in milliseconds. */
 const RATE_WINDOW_MS = 2000;
 
-/** The rate of events over the recent past: an exponentially decaying sum. */
+/** Estimates the recent rate of events with an exponentially decaying sum. */
 class DecayingRate {
   private decayedSum = 0;
   private updatedAt: number;
@@ -45,20 +46,20 @@
   }
 }
 
-/** What a controller's share of the write rate is computed from. */
+/** Options of `SharedWriteRate`. */
 export interface SharedWriteRateOptions {
   /** The state store's limit for all controllers together, in writes per second. */
   readonly writesPerSecond: number;
-  /** The most writes of one transaction: the burst must let it through. */
+  /** The maximum number of writes in one transaction; the burst must be large enough to admit it. */
   readonly maxTransactionWrites: number;
-  /** This controller's part of the limit before any write is observed, from 0 to 1. */
+  /** The fraction of the limit, from 0 to 1, that this controller may use before any write is observed. */
   readonly initialShare: number;
-  /** How many controllers use the state store. */
+  /** The number of controllers that use the state store. */
   readonly controllers: number;
   readonly clock: SteadyClock;
 }
 
-/** Limits this controller's writes to what the other controllers leave of the common rate. */
+/** Limits this controller's writes to the part of the common rate limit that the other controllers do not use. */
 export class SharedWriteRate {
   private readonly limiter: RateLimiter<WritePriority>;
   private readonly totalRate: DecayingRate;
@@ -73,7 +74,7 @@
     this.ownRate = new DecayingRate(clock);
   }
 
-  /** Waits until so many writes may be sent; false, at once, if that would take longer than the queue timeout. */
+  /** Waits until `writes` writes may be sent; returns false at once if the wait would exceed `queueTimeoutMs`. */
   acquire(writes: number, priority: WritePriority, queueTimeoutMs?: number): Promise<boolean> {
     return this.limiter.acquire(writes, priority, queueTimeoutMs);
   }
@@ -84,13 +85,17 @@
   }
 
   /**
-   * Counts changes by any controller that the watch has shown, and adapts the rate. Equal shares would fit neither a
-   * leader nor a busy shard owner: a controller may use what the others leave of the limit.
+   * Counts changes by any controller that the watch has delivered, and adapts the rate. The controllers do not get
+   * equal shares, since a leader or the owner of a busy shard needs more than the others: each one may use the rate
+   * that the others leave.
    */
   recordObservedWrites(changes: number): void {
     this.totalRate.add(changes);
     const { writesPerSecond, controllers } = this.options;
-    const others = Math.max(0, this.totalRate.perSecond - this.ownRate.perSecond);
-    this.limiter.rate = Math.max((MIN_RATE_SHARE * writesPerSecond) / controllers, writesPerSecond - others);
+    const othersPerSecond = Math.max(0, this.totalRate.perSecond - this.ownRate.perSecond);
+    this.limiter.rate = Math.max(
+      (MIN_RATE_SHARE * writesPerSecond) / controllers,
+      writesPerSecond - othersPerSecond,
+    );
   }
 }
--- a/src/state/state-store-client.ts
+++ b/src/state/state-store-client.ts
@@ -1,6 +1,6 @@
 /**
- * The operations of the state store. Every call stays within this controller's share of the common rate limits, every
- * answer is checked, and every failure states whether the request can have had an effect.
+ * Client for the operations of the state store. Calls stay within this controller's share of the common rate limits,
+ * responses are validated, and every failure states whether the request may have been executed.
  */
 import type * as z from "zod";
 import type { SteadyClock } from "../runtime/clock.js";
@@ -30,51 +30,56 @@
 const CONFLICT = 409;
 const GONE = 410;
 
-/** The most records of one page of a listing. */
+/** The maximum number of records in one page of a listing. */
 const PAGE_SIZE = 500;
 
-/** Load is rarely even: a controller may begin with this multiple of an equal share, and 429 then slows it down. */
+/**
+ * The multiple of an equal share of the limits that a controller starts with, since load is rarely even. If the total
+ * is too high, responses with status 429 slow it down.
+ */
 const UNEVEN_LOAD_FACTOR = 1.5;
 
-/** How many call timeouts a lease renewal may take. */
-const RENEWAL_TIMEOUTS = 3;
+/** The timeout of a lease renewal, as a multiple of the call timeout. */
+const RENEWAL_TIMEOUT_FACTOR = 3;
 
-/** Whether a transaction was executed; if not, the keys whose conditions did not hold. */
+/**
+ * The result of a transaction: the revision it created or, if it was not executed, the keys whose conditions failed.
+ */
 export type TransactionResult = { ok: true; revision: number } | { ok: false; failedKeys: string[] };
 
-/** The state store's limits, for all controllers together. */
+/** The limits of the state store; the rates apply to all controllers together. */
 interface StateStoreLimits {
   /** Requests per second. */
   rps: number;
   /** Writes per second. */
   writeRps: number;
-  /** The most writes of one transaction. */
+  /** The maximum number of writes in one transaction. */
   txnOps: number;
 }
 
-/** What a client is made from. */
+/** Options of `StateStoreClient`. */
 export interface StateStoreClientOptions {
-  /** For calls that are answered at once. */
+  /** Client for calls that the state store answers immediately. */
   readonly http: JsonClient;
-  /** For watches: each occupies a connection while it is open, and must not delay calls. */
+  /** Client for watches, which occupy a connection while they are open and must not delay other calls. */
   readonly watchHttp: JsonClient;
   readonly limits: StateStoreLimits;
-  /** How many controllers use the state store. */
+  /** The number of controllers that use the state store. */
   readonly controllers: number;
   readonly clock: SteadyClock;
-  /** How long a call may take, in milliseconds. */
+  /** The timeout of a call, in milliseconds. */
   readonly timeoutMs: number;
 }
 
 /**
- * Calls the state store within this controller's share of its limits. All calls that return a promise fail with a
- * `StateStoreError` if they do not succeed.
+ * Calls the state store within this controller's share of its limits. All methods that return a promise reject with a
+ * `StateStoreError` if the call fails.
  */
 export class StateStoreClient {
   private readonly connection: StateStoreConnection;
   private readonly writeRate: SharedWriteRate;
   private readonly timeoutMs: number;
-  /** The most writes of one transaction. */
+  /** The maximum number of writes in one transaction. */
   readonly maxTransactionWrites: number;
 
   constructor({ http, watchHttp, limits, controllers, clock, timeoutMs }: StateStoreClientOptions) {
@@ -92,12 +97,14 @@
     this.maxTransactionWrites = limits.txnOps;
   }
 
-  /** Counts changes by any controller that the watch has shown: the rate of own writes adapts to them. */
+  /**
+   * Counts changes by any controller that the watch has delivered; the write rate of this controller adapts to them.
+   */
   recordObservedWrites(changes: number): void {
     this.writeRate.recordObservedWrites(changes);
   }
 
-  /** Reads the present value and version of a key; null if it does not exist. */
+  /** Reads the current value and version of a key; null if it does not exist. */
   async read(key: string): Promise<{ value: unknown; version: number } | null> {
     const response = await this.connection.call({
       method: "GET",
@@ -107,7 +114,10 @@
     return response.status === NOT_FOUND ? null : parseBody(valueSchema, response.body);
   }
 
-  /** Reads one page of the records under a prefix: those whose keys follow `after`, in the order of keys. */
+  /**
+   * Reads one page of the records under a prefix in key order: those after the key `after`, or the first ones if it is
+   * undefined.
+   */
   async readPage(
     prefix: string,
     after: string | undefined,
@@ -122,7 +132,7 @@
 
   /**
    * Executes all writes in one transaction if all conditions hold, and none otherwise.
-   * @param queueTimeoutMs the longest wait for the write rate limit; without it, the wait has no bound
+   * @param queueTimeoutMs the maximum wait for the write rate limit, in milliseconds; unbounded if omitted
    */
   async compareAndSwap(
     conditions: Condition[],
@@ -144,7 +154,9 @@
     return { ok: true, revision: parseBody(revisionSchema, response.body) };
   }
 
-  /** Reads the state store's revision: a view of that revision shows all that was durable when this was called. */
+  /**
+   * Reads the state store's revision: a replica at that revision contains everything durable at the time of the call.
+   */
   async currentRevision(): Promise<number> {
     const response = await this.connection.call({
       method: "GET",
@@ -154,7 +166,7 @@
     return parseBody(revisionSchema, response.body);
   }
 
-  /** Grants a lease and returns its id: records written under it are removed `ttlMs` after its last renewal. */
+  /** Requests a lease and returns its id: records attached to it are removed `ttlMs` after its last renewal. */
   async grantLease(ttlMs: number): Promise<number> {
     const response = await this.connection.call({
       method: "POST",
@@ -165,7 +177,7 @@
     return parseBody(leaseSchema, response.body);
   }
 
-  /** Renews a lease; false if it has ended. It is sent at once: it must not wait behind other calls. */
+  /** Renews a lease; false if it has expired. Bypasses the rate limit, so that it does not wait behind other calls. */
   async renewLease(leaseId: number): Promise<boolean> {
     const response = await this.connection.send(
       {
@@ -174,15 +186,16 @@
         body: {},
         expectedStatuses: [OK, NOT_FOUND],
       },
-      // A slow state store is not a failed one: a late answer still proves the lease from when the renewal was sent.
-      RENEWAL_TIMEOUTS * this.timeoutMs,
+      // The state store may be slow rather than down: a late response still proves the lease, counted from when the
+      // renewal was sent.
+      RENEWAL_TIMEOUT_FACTOR * this.timeoutMs,
     );
     return response.status === OK;
   }
 
   /**
-   * Waits up to `waitMs` for changes under a prefix after the revision `since`. Null if that revision is too old, and all
-   * records must be read again.
+   * Waits up to `waitMs` milliseconds for changes under a prefix after the revision `since`. Returns null if that
+   * revision is no longer available, so that all records must be listed again.
    */
   async watchChanges(
     prefix: string,
@@ -195,18 +208,19 @@
         path: paths.state.changes(prefix, since, waitMs),
         expectedStatuses: [OK, GONE],
       },
-      // A watch may outlive an outage, but not a dead connection: it fails one call timeout after its answer is due.
+      // A watch may stay open through an outage, but on a dead connection it must fail: it times out one call timeout
+      // after its response is due.
       waitMs + this.timeoutMs,
     );
     return response.status === GONE ? null : parseBody(changesSchema, response.body);
   }
 }
 
-/** @throws StateStoreError if the body does not follow the protocol; whether the request was executed is not known. */
+/** @throws StateStoreError with an unknown outcome if the body does not match the protocol. */
 function parseBody<T>(schema: z.ZodType<T>, body: unknown): T {
   const result = schema.safeParse(body);
   if (result.success) return result.data;
-  throw new StateStoreError("unusable answer of the state store", {
+  throw new StateStoreError("state store response does not match the protocol", {
     outcome: "unknown",
     cause: result.error,
   });
--- a/src/state/state-store-error.ts
+++ b/src/state/state-store-error.ts
@@ -1,23 +1,23 @@
-/** Failures of calls to the state store. */
+/** The error of a failed state store call, which states whether the request may have been executed. */
 
 /**
- * Whether the request of a failed call can have had an effect: `rejected` means that it was not executed and never will
- * be, `unknown` that it may have been executed or may yet be.
+ * Whether the request of a failed call may have been executed: `rejected` means that it was not executed and never will
+ * be, `unknown` that it may have been executed or may still be.
  */
 export type StateStoreOutcome = "rejected" | "unknown";
 
-/** What is known of a failed call. */
+/** Details of a failed call. */
 export interface StateStoreErrorDetails extends ErrorOptions {
   readonly outcome: StateStoreOutcome;
-  /** The HTTP status that the state store answered with; absent if no usable answer came. */
+  /** The HTTP status of the response; absent if there was no response or it does not match the protocol. */
   readonly status?: number;
 }
 
-/** A call to the state store did not succeed. */
+/** Thrown when a call to the state store fails. */
 export class StateStoreError extends Error {
   override readonly name = "StateStoreError";
   readonly outcome: StateStoreOutcome;
-  /** The HTTP status of the answer; null if none came, or one that does not follow the protocol. */
+  /** The HTTP status of the response; null if there was no response or it does not match the protocol. */
   readonly status: number | null;
 
   constructor(message: string, details: StateStoreErrorDetails) {
@@ -27,6 +27,5 @@
   }
 }
 
-/** Whether the state store answered the failed call with an HTTP status; a rejection is an answer, too. */
-export const receivedResponse = (err: unknown): boolean =>
-  err instanceof StateStoreError && err.status !== null;
+/** Whether the failed call got an HTTP status from the state store; a rejection counts as a response, too. */
+export const hasResponse = (err: unknown): boolean => err instanceof StateStoreError && err.status !== null;
--- a/src/state/watch.ts
+++ b/src/state/watch.ts
@@ -1,4 +1,4 @@
-/** The records as a stream: one complete listing, then every change in order; a new listing after a gap. */
+/** Streams the records: a complete listing, then all changes in order, and a new listing after a gap in the changes. */
 import { Readable } from "node:stream";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
@@ -6,33 +6,38 @@
 import type { RecordChange, RecordEntry } from "../wire/index.js";
 import type { StateStoreClient } from "./state-store-client.js";
 
-/** A complete listing of the records, or the changes since the last event. */
+/** A complete listing of the records, or the changes since the previous event. */
 export type WatchEvent = {
-  /** The state store's revision that the event leads to. */
+  /** The state store revision after the event. */
   revision: number;
-  /** Steady time, in milliseconds, up to which all durable changes are contained in this and earlier events. */
+  /** Monotonic time, in milliseconds: all changes durable by then are contained in this and earlier events. */
   completeAsOf: number;
 } & ({ kind: "reset"; entries: RecordEntry[] } | { kind: "changes"; changes: RecordChange[] });
 
-/** How often the state store is called, in milliseconds. */
+/** Intervals between calls to the state store, in milliseconds. */
 export interface WatchPacing {
-  /** How long one watch stays open without a change: it bounds the age of an unchanged view. */
+  /** How long one watch stays open without a change; this bounds the age of a replica that does not change. */
   waitMs: number;
-  /** The least time between the starts of two watches: a busy store is read in batches, within the rate limit. */
+  /**
+   * The minimum time between the starts of two watches, so that a busy state store is read in batches and within the
+   * rate limit.
+   */
   spacingMs: number;
-  /** The mean pause after a failed call. */
+  /** The mean delay after a failed call; it is jittered. */
   retryMs: number;
 }
 
 /** The prefixes of the keys that are listed and watched. */
 export interface WatchPrefixes {
-  /** What the complete listing contains. */
+  /** The prefix of the keys in the complete listing. */
   listed: string;
-  /** Changes under this prefix of `listed` are followed. */
+  /** The prefix of the keys whose changes are watched; `listed` starts with it. */
   watched: string;
 }
 
-/** A stream of `WatchEvent`s; failed calls are retried for ever, so that it ends only when it is destroyed. */
+/**
+ * Returns a stream of `WatchEvent`s. Failed calls are retried indefinitely: the stream ends only when it is destroyed.
+ */
 export function watchRecords(
   client: StateStoreClient,
   { listed, watched }: WatchPrefixes,
@@ -43,7 +48,7 @@
   async function* events(): AsyncGenerator<WatchEvent> {
     let since: number | null = null;
     for (;;) {
-      // The time when the call is *sent*: whatever was durable by then is in the answer.
+      // The time at which the call is sent: the response contains everything that was durable by then.
       const completeAsOf = clock();
       try {
         if (since === null) {
@@ -78,7 +83,7 @@
   let revision: number | null = null;
   for (let more = true, after: string | undefined; more;) {
     const page = await client.readPage(prefix, after);
-    // Pages are read one after the other; changes since the *first* are applied on top of all of them.
+    // Pages are read one at a time, so changes must be watched from the revision of the first page.
     revision ??= page.revision;
     for (const entry of page.entries) entries.push(entry);
     after = page.entries.at(-1)?.key;
--- a/test/elections.test.ts
+++ b/test/elections.test.ts
@@ -1,4 +1,4 @@
-/** Crashes and restarts in the middle of elections, while any request may be delayed, repeated or reordered. */
+/** Random crashes and restarts during elections, while any request may be delayed, duplicated or reordered. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
@@ -27,13 +27,13 @@
   leaseId: number;
 }
 
-/** Controllers, the state store, and the requests between them. */
+/** Simulates controllers, the state store and the requests between them. */
 class ElectionSimulation {
   private readonly random: ReturnType<typeof xoroshiro128plus>;
   private readonly store = new FakeView();
   /** The keys attached to each lease. */
   private readonly leases = new Map<number, string[]>();
-  /** Requests in flight; a delivered one may stay and be delivered again. */
+  /** Requests in flight; a delivered request may stay and be delivered again. */
   private inFlight: ConditionalTransaction[] = [];
   readonly running = new Map<string, RunningController>();
   private lastLeaseId = 0;
@@ -43,8 +43,8 @@
     this.random = xoroshiro128plus(seed);
   }
 
-  /** A random integer from 0 to one less than the bound. */
-  pick(bound: number): number {
+  /** A random integer from 0 to `bound - 1`. */
+  randomBelow(bound: number): number {
     return uniformInt(this.random, 0, bound - 1);
   }
 
@@ -52,7 +52,7 @@
     return readCluster(this.store, SHARDS);
   }
 
-  /** A process starts, whether or not the lease of its earlier life has ended. */
+  /** Starts a process, whether or not the lease of its node's earlier incarnation has expired. */
   start(node: string): void {
     const leaseId = ++this.lastLeaseId;
     this.leases.set(leaseId, []);
@@ -61,14 +61,14 @@
     this.join(controller);
   }
 
-  /** The state store ends the lease of a process that is gone. */
+  /** Expires a lease, unless its process is still running. */
   expire(leaseId: number): void {
     if ([...this.running.values()].some((controller) => controller.leaseId === leaseId)) return;
     for (const key of this.leases.get(leaseId) ?? []) this.store.remove(key, ++this.revision);
     this.leases.delete(leaseId);
   }
 
-  /** A controller sends what it decides on the cluster that it sees. */
+  /** Sends the transactions that a controller plans on the given view of the cluster. */
   act({ node, incarnation, leaseId }: RunningController, cluster: Cluster): void {
     const self = { node, incarnation };
     const actions = planMembership({
@@ -77,8 +77,8 @@
       controllers: SHARDS,
       leadingForMs: 9999,
       bootstrapGraceMs: 1,
-      mayMove: false,
-      mayLead: true,
+      canRebalance: false,
+      canLead: true,
       isCutOffFromWorkers: () => false,
     });
     for (const action of actions)
@@ -86,10 +86,10 @@
         this.inFlight.push(transactionFor(action, self, leaseId, cluster));
   }
 
-  /** The state store executes a random request; it may stay in flight as a copy. */
+  /** Executes a random request in flight; with `keepCopy` it stays in flight and may be executed again. */
   deliver(keepCopy: boolean): void {
     if (this.inFlight.length === 0) return;
-    const index = this.pick(this.inFlight.length);
+    const index = this.randomBelow(this.inFlight.length);
     const { conditions, writes } = this.inFlight[index]!;
     if (!keepCopy) this.inFlight.splice(index, 1);
     const before = this.cluster;
@@ -104,7 +104,7 @@
     this.checkNoLiveOwnerLostShard(before);
   }
 
-  /** All leases of former processes end, and all requests arrive, until nothing is left to do. */
+  /** Delivers all requests, expires the leases of stopped processes and lets all controllers act, for 20 rounds. */
   settle(): void {
     this.deliverAll();
     for (let round = 0; round < 20; round++) {
@@ -139,7 +139,7 @@
     if (leaseId !== undefined) this.leases.get(leaseId)!.push(key);
   }
 
-  /** A running owner that is a member loses its shard to no other. */
+  /** Asserts that no running owner that is a member has lost its shard. */
   private checkNoLiveOwnerLostShard(before: Cluster): void {
     before.shards.forEach((owner, shard) => {
       if (owner === null || isSameInstance(this.cluster.shards[shard], owner)) return;
@@ -154,19 +154,19 @@
   for (const node of NODES) simulation.start(node);
   let staleCluster = simulation.cluster;
   for (let step = 0; step < STEPS; step++) {
-    const node = NODES[simulation.pick(NODES.length)]!;
-    const chance = simulation.pick(10);
+    const node = NODES[simulation.randomBelow(NODES.length)]!;
+    const chance = simulation.randomBelow(10);
     if (chance === 0) simulation.start(node);
-    else if (chance === 1) simulation.expire(1 + simulation.pick(20));
+    else if (chance === 1) simulation.expire(1 + simulation.randomBelow(20));
     else if (chance === 2) staleCluster = simulation.cluster;
     else if (chance < 6)
       simulation.act(simulation.running.get(node)!, chance === 3 ? staleCluster : simulation.cluster);
-    else simulation.deliver(simulation.pick(2) === 0);
+    else simulation.deliver(simulation.randomBelow(2) === 0);
   }
 }
 
 void describe("membership: elections", () => {
-  test("with delayed and repeated requests, no live owner loses a shard, and all shards get live owners", () => {
+  test("with delayed and duplicated requests, no live owner loses a shard, and all shards get live owners", () => {
     for (let seed = 1; seed <= SEEDS; seed++) {
       const simulation = new ElectionSimulation(seed);
       runRandomSteps(simulation);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,4 +1,4 @@
-/** Leadership, the ownership of shards, and how long an owner may keep what it knows. */
+/** Tests of leadership, shard ownership, the membership lease, hand-overs and token advances. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { planMembership, type MembershipView } from "../src/membership/membership-planner.js";
@@ -24,10 +24,12 @@
 const membersOf = (...records: ControllerRecord[]): Map<string, ControllerRecord> =>
   new Map(records.map((record) => [record.node, record]));
 
-/** What node a sees: it leads, all three controllers are up, and each owns one shard, but for what is given. */
+/**
+ * The planner's input on node a, which leads three running controllers with one shard each, with the given overrides.
+ */
 function viewOf(
   cluster: Partial<MembershipView["cluster"]>,
-  rest: Partial<MembershipView> = {},
+  overrides: Partial<MembershipView> = {},
 ): MembershipView {
   return {
     self: { node: "a", incarnation: "a.1" },
@@ -40,10 +42,10 @@
     controllers: 3,
     leadingForMs: 0,
     bootstrapGraceMs: 5000,
-    mayMove: true,
-    mayLead: true,
+    canRebalance: true,
+    canLead: true,
     isCutOffFromWorkers: () => false,
-    ...rest,
+    ...overrides,
   };
 }
 
@@ -52,7 +54,7 @@
     assert.deepEqual(planMembership(viewOf({})), []);
   });
 
-  test("a restarted process resumes leadership and shards of its earlier life at once", () => {
+  test("a restarted process resumes the leadership and the shards of its earlier incarnation at once", () => {
     const earlierLeader = controllerRecord("a", 9, "a.0");
     const shards = [controllerRecord("a", 10, "a.0"), MEMBER_B, MEMBER_C];
     const actions = planMembership(viewOf({ leader: earlierLeader, shards }));
@@ -73,23 +75,23 @@
     );
   });
 
-  test("shards without any owner so far wait for all controllers to join, at most for the bootstrap grace period", () => {
+  test("shards that never had an owner are assigned once all controllers have joined or the bootstrap grace period is over", () => {
     const newCluster = { members: membersOf(MEMBER_A), shards: [null, null, null] };
     assert.deepEqual(planMembership(viewOf(newCluster, { leadingForMs: 4999 })), []);
     assert.equal(planMembership(viewOf(newCluster, { leadingForMs: 5000 })).length, 3);
   });
 
-  test("the leader balances an uneven cluster by requesting one hand-over a shard move period", () => {
+  test("the leader balances an uneven cluster by requesting one hand-over per shard move period", () => {
     const uneven = {
       shards: [controllerRecord("b", 10), controllerRecord("b", 11), controllerRecord("c", 12)],
     };
     const [action] = planMembership(viewOf(uneven));
     assert.deepEqual(action, { kind: "request_hand_over", shard: 0, owner: "b", successor: "a" });
-    assert.deepEqual(planMembership(viewOf(uneven, { mayMove: false })), []);
+    assert.deepEqual(planMembership(viewOf(uneven, { canRebalance: false })), []);
   });
 });
 
-const settle = (): Promise<unknown> => new Promise((resolve) => setImmediate(resolve));
+const nextTurn = (): Promise<unknown> => new Promise((resolve) => setImmediate(resolve));
 
 interface SoleOwner {
   membership: Membership;
@@ -98,17 +100,17 @@
 
 interface SoleOwnerOptions {
   clock?: () => number;
-  /** The state store's answers to renewals and to reads of its revision. */
-  answered?: () => Promise<void>;
+  /** Awaited before the state store responds to a renewal or a read of its revision; a rejection fails the call. */
+  beforeResponse?: () => Promise<void>;
   renewals?: { count: number };
 }
 
 /**
- * The membership of node a, which leads and owns three shards at the versions 10, 11 and 12. Its writes are executed at
- * once, and `onWritten` is called before they are answered.
+ * Creates the membership of node a, which is the leader and owns three shards at the versions 10, 11 and 12. Its writes
+ * are executed on the next turn of the event loop, and `onWritten` is called before each response.
  */
 function soleOwner(onWritten: (membership: Membership) => void, options: SoleOwnerOptions = {}): SoleOwner {
-  const { clock = () => 0, answered = () => Promise.resolve(), renewals = { count: 0 } } = options;
+  const { clock = () => 0, beforeResponse = () => Promise.resolve(), renewals = { count: 0 } } = options;
   const store = new FakeView();
   const self = { node: "a", incarnation: "a.1" };
   store.put(keys.leader, self, 9);
@@ -121,15 +123,15 @@
     read: () => Promise.resolve(null),
     renewLease: async () => {
       renewals.count++;
-      await answered();
+      await beforeResponse();
       return true;
     },
     currentRevision: async () => {
-      await answered();
+      await beforeResponse();
       return revision;
     },
     compareAndSwap: async (conditions: Condition[], writes: Write[]) => {
-      await settle();
+      await nextTurn();
       const failed = conditions.filter(({ key, version }) => (store.get(key)?.version ?? 0) !== version);
       if (failed.length > 0) return { ok: false as const, failedKeys: failed.map(({ key }) => key) };
       revision++;
@@ -159,44 +161,46 @@
 
 async function tick(membership: Membership): Promise<void> {
   membership.tell({ kind: "tick" });
-  await settle();
-  await settle();
+  await nextTurn();
+  await nextTurn();
 }
 
 async function advanceToken(membership: Membership, shard: number): Promise<void> {
   membership.tell({ kind: "advance_token", shard });
-  await settle();
-  await settle();
+  await nextTurn();
+  await nextTurn();
 }
 
 void describe("membership/membership-lease", () => {
-  // Fails if an unanswered renewal is sent again and again: each is executed, and the lease never ends for the others.
-  test("a member whose renewals are executed but never answered lets its lease end, and renews once it gets an answer", async () => {
+  // Renewals whose responses are lost must not be repeated: each is executed, and the lease would never expire for
+  // others.
+  test("a member whose renewals are executed without a response lets its lease expire, and renews again after a response", async () => {
     const [LEASE_MS, TICK_MS] = [5000, 400];
     let now = 0;
-    let answersArrive = true;
-    const unanswered = new StateStoreError("timed out", { outcome: "unknown" });
+    let isAnswering = true;
+    const timeoutError = new StateStoreError("timed out", { outcome: "unknown" });
     const renewals = { count: 0 };
-    const answered = (): Promise<void> => (answersArrive ? Promise.resolve() : Promise.reject(unanswered));
-    const { membership, store } = soleOwner(() => undefined, { clock: () => now, answered, renewals });
+    const beforeResponse = (): Promise<void> =>
+      isAnswering ? Promise.resolve() : Promise.reject(timeoutError);
+    const { membership, store } = soleOwner(() => undefined, { clock: () => now, beforeResponse, renewals });
     const renewalsWithin = async (ms: number): Promise<number> => {
       const countBefore = renewals.count;
       for (const end = now + ms; now < end; now += TICK_MS) await tick(membership);
       return renewals.count - countBefore;
     };
-    assert.ok((await renewalsWithin(2 * LEASE_MS)) >= 8, "it renews while it is answered");
-    answersArrive = false;
+    assert.ok((await renewalsWithin(2 * LEASE_MS)) >= 8, "renews while it gets responses");
+    isAnswering = false;
     await renewalsWithin(LEASE_MS);
-    assert.equal(await renewalsWithin(4 * LEASE_MS), 0, "nothing extends a lease that it cannot prove");
-    answersArrive = true;
-    assert.ok((await renewalsWithin(LEASE_MS)) >= 3, "it renews again");
+    assert.equal(await renewalsWithin(4 * LEASE_MS), 0, "does not renew a lease that has expired locally");
+    isAnswering = true;
+    assert.ok((await renewalsWithin(LEASE_MS)) >= 3, "renews again");
     store.completeAsOf = now;
-    assert.notEqual(membership.token(0), null, "and it may act again");
+    assert.notEqual(membership.token(0), null, "may act for its shard again");
   });
 });
 
 void describe("membership/shard-hand-over", () => {
-  test("a leader that owns every shard hands one over, although its request comes while it carries out actions", async () => {
+  test("a leader that owns every shard hands one over, although it requests this while its actions are running", async () => {
     const { membership } = soleOwner(() => undefined);
     for (let i = 0; i < 3; i++) {
       await tick(membership);
@@ -208,9 +212,9 @@
 });
 
 void describe("membership/token-advances", () => {
-  test("an owner that was cut off and owns its shard again starts a new term", () => {
+  test("an owner that was disconnected and owns its shard again starts a new term", () => {
     const advance = { fromVersion: 10, advanceId: "own" };
-    // Cut off at version 10, while another owned the shard at 11 and handed it back at 12.
+    // Disconnected at version 10, while another controller owned the shard at 11 and handed it back at 12.
     assert.equal(continuesTerm(10, { version: 12, advanceId: null }, undefined), false);
     assert.equal(
       continuesTerm(10, { version: 12, advanceId: "own" }, { fromVersion: 11, advanceId: "own" }),
@@ -218,7 +222,7 @@
     );
     assert.equal(continuesTerm(10, { version: 11, advanceId: "own" }, advance), true);
     assert.equal(continuesTerm(10, { version: 10, advanceId: null }, undefined), true);
-    // The unanswered advance was not executed: the record is another's or of another time.
+    // The advance was not executed: another write, or another controller's advance, created the current version.
     assert.equal(continuesTerm(10, { version: 12, advanceId: null }, advance), false);
     assert.equal(continuesTerm(10, { version: 12, advanceId: "other" }, advance), false);
   });
--- a/test/state.test.ts
+++ b/test/state.test.ts
@@ -1,4 +1,4 @@
-/** The rate limiter, the read barrier and the replica. */
+/** Tests of the rate limiter, the read barrier, the replica and the state store client's errors. */
 import assert from "node:assert/strict";
 import { describe, mock, test } from "node:test";
 import { NoResponseError, type JsonClient } from "../src/runtime/json-client.js";
@@ -7,7 +7,7 @@
 import { Replica } from "../src/state/replica.js";
 import { keys, prefixes } from "../src/state/keys.js";
 import { StateStoreClient } from "../src/state/state-store-client.js";
-import { receivedResponse, StateStoreError } from "../src/state/state-store-error.js";
+import { hasResponse, StateStoreError } from "../src/state/state-store-error.js";
 import type { RecordChange } from "../src/wire/index.js";
 
 const nextTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
@@ -17,7 +17,7 @@
 const removal = (key: string, version: number): RecordChange => ({ key, version, value: undefined });
 
 void describe("runtime/rate-limiter", () => {
-  test("at the limit, higher priorities go first, notes leave a reserve, and nothing waits past its queue timeout", async () => {
+  test("at the limit, higher priorities go first, background writes leave a reserve, and no request waits past its timeout", async () => {
     let now = 0;
     mock.timers.enable({ apis: ["setTimeout"] });
     try {
@@ -42,7 +42,7 @@
       void acquire(1, "ownership", "renewal");
       void acquire(1, "user", "late submission", 50);
       await nextTurn();
-      // The bucket holds ten at first: the second note would use what is reserved for higher priorities.
+      // The bucket starts with ten tokens: the second background write would use those reserved for higher priorities.
       assert.deepEqual(outcomes, [
         "first background write",
         "submission",
@@ -62,7 +62,7 @@
 });
 
 void describe("state/read-barrier", () => {
-  test("one read serves all calls that come before it is sent, and none returns on a replica older than the read", async () => {
+  test("one read serves all calls made before it is sent, and none returns on a replica older than the read", async () => {
     const replica = new Replica();
     const reads: ((revision: number) => void)[] = [];
     const state = { currentRevision: () => new Promise<number>((resolve) => reads.push(resolve)) };
@@ -74,7 +74,7 @@
     };
     wait("a");
     await nextTurn();
-    // These come after the read was sent: another controller may have answered with a newer state in between.
+    // These calls are made after the read was sent: another controller may have responded with newer state in between.
     wait("b");
     wait("c");
     await nextTurn();
@@ -114,11 +114,11 @@
   });
 });
 
-/** The error with which a read fails if each of its requests ends as given. */
+/** The error with which a read fails if each of its requests is handled by `call`. */
 async function errorOfRead(call: JsonClient["call"]): Promise<StateStoreError> {
   const http = { call };
   const limits = { rps: 10, writeRps: 10, txnOps: 8 };
-  // Each look at the clock is past the deadline of the call: there is no retry.
+  // The clock advances on each reading and the timeout is 0, so that the deadline has always passed: there is no retry.
   let now = 0;
   const client = new StateStoreClient({
     http,
@@ -134,11 +134,11 @@
 }
 
 void describe("state/state-store-client", () => {
-  test("an error states whether the request may have been executed, and whether there was an answer", async () => {
+  test("an error states whether the request may have been executed, and whether there was a response", async () => {
     for (const status of [400, 429, 503]) {
       const error = await errorOfRead(() => Promise.resolve({ status, body: {} }));
       assert.deepEqual([error.outcome, error.status], ["rejected", status]);
-      assert.equal(receivedResponse(error), true);
+      assert.equal(hasResponse(error), true);
     }
     const failed = await errorOfRead(() => Promise.resolve({ status: 500, body: {} }));
     assert.deepEqual([failed.outcome, failed.status], ["unknown", 500]);
@@ -146,10 +146,10 @@
     assert.deepEqual([unusable.outcome, unusable.status], ["unknown", null]);
   });
 
-  test("an error without an answer has an unknown outcome and the failed exchange as its cause", async () => {
+  test("an error without a response has an unknown outcome and the failed HTTP call as its cause", async () => {
     const cause = new NoResponseError("GET", "/kv", "timed out");
     const error = await errorOfRead(() => Promise.reject(cause));
     assert.deepEqual([error.outcome, error.status, error.cause], ["unknown", null, cause]);
-    assert.equal(receivedResponse(error), false);
+    assert.equal(hasResponse(error), false);
   });
 });
--- a/test/support/state-service.ts
+++ b/test/support/state-service.ts
@@ -1,6 +1,6 @@
 /**
- * A fake of the state service, written from its published protocol, whose names it keeps: a `hold` is a lease, a `stamp` the
- * version of a key, the `epoch` the revision of the store.
+ * A fake of the state service, written from its published protocol. It keeps the protocol's names: a `hold` is a lease,
+ * a `stamp` the version of a key, and the `epoch` the revision of the store.
  */
 import { listen, type Listening, type Reply } from "./http.js";
 
@@ -21,21 +21,21 @@
 
 interface Hold {
   lifeMs: number;
-  /** Ends the lease. */
+  /** Expires the lease. */
   timer: NodeJS.Timeout;
 }
 
-/** The records, the leases and the operations on them, without a network. */
+/** The records and leases of the fake, and the operations on them, without a network. */
 export class FakeStateStore {
-  /** Nodes whose requests get 503 while others are served; their open watches wait. */
+  /** Nodes whose requests get 503 while the other nodes are served; their open watches get no response. */
   readonly refused = new Set<number>();
-  /** How many requests of all kinds have arrived. */
+  /** The number of requests received, of all kinds. */
   requests = 0;
-  /** Called with every change when it is made. */
+  /** Called with each change as it is applied. */
   onChange: (change: Change) => void = () => undefined;
-  private outage = false;
+  private hasOutage = false;
   private epoch = 0;
-  private nextHold = 1;
+  private nextHoldId = 1;
   private readonly store = new Map<string, StoredRecord>();
   private readonly holds = new Map<number, Hold>();
   private readonly changes: Change[] = [];
@@ -43,15 +43,15 @@
 
   /** While true, every request gets 503. */
   get down(): boolean {
-    return this.outage;
+    return this.hasOutage;
   }
 
   set down(down: boolean) {
-    this.outage = down;
-    // No lease ends in an outage, and after it every lease has its full length again.
+    this.hasOutage = down;
+    // No lease expires during an outage, and after it every lease has its full duration again.
     for (const [id, hold] of this.holds) {
       clearTimeout(hold.timer);
-      if (!down) this.arm(id, hold);
+      if (!down) this.restartExpiryTimer(id, hold);
     }
   }
 
@@ -69,43 +69,43 @@
 
   handle(node: number, method: string, url: URL, body: unknown): Reply | Promise<Reply> {
     this.requests++;
-    const refused = (): boolean => this.down || this.refused.has(node);
-    if (refused()) return { status: 503, body: { error: "trouble" } };
+    const isRefused = (): boolean => this.down || this.refused.has(node);
+    if (isRefused()) return { status: 503, body: { error: "trouble" } };
     const { pathname } = url;
     if (pathname === "/multi") return this.commit(body as Transaction);
-    if (pathname === "/changes") return this.watch(url, refused);
+    if (pathname === "/changes") return this.watch(url, isRefused);
     if (pathname === "/kv") return this.page(url);
     if (pathname.startsWith("/kv/")) {
       const stored = this.store.get(pathname.slice("/kv/".length));
       return stored ? { status: 200, body: stored } : { status: 404, body: { epoch: this.epoch } };
     }
     if (pathname === "/grants") {
-      const id = this.nextHold++;
+      const id = this.nextHoldId++;
       const hold = { lifeMs: (body as { lifeMs: number }).lifeMs, timer: setTimeout(() => undefined, 0) };
       this.holds.set(id, hold);
-      this.arm(id, hold);
+      this.restartExpiryTimer(id, hold);
       return { status: 200, body: { hold: id } };
     }
     const renewed = /^\/grants\/(\d+)\/renew$/.exec(pathname);
     const hold = renewed && this.holds.get(Number(renewed[1]));
     if (!hold || method !== "POST") return { status: 404 };
-    this.arm(Number(renewed[1]), hold);
+    this.restartExpiryTimer(Number(renewed[1]), hold);
     return { status: 200, body: { hold: Number(renewed[1]) } };
   }
 
-  /** Executes a transaction that was sent earlier: its answer is lost, and no outage stops it. */
+  /** Executes a transaction that was sent earlier, even during an outage; its response is lost. */
   executeDelayed(body: unknown): void {
     this.commit(body as Transaction);
   }
 
-  private arm(id: number, hold: Hold): void {
+  private restartExpiryTimer(id: number, hold: Hold): void {
     clearTimeout(hold.timer);
     hold.timer = setTimeout(() => {
-      this.end(id);
+      this.expire(id);
     }, hold.lifeMs);
   }
 
-  private end(id: number): void {
+  private expire(id: number): void {
     this.holds.delete(id);
     const removals = [...this.store]
       .filter(([, record]) => record.hold === id)
@@ -123,7 +123,7 @@
         this.recordChange({ put, value, stamp });
       } else if (this.store.delete(operation.remove)) this.recordChange({ remove: operation.remove, stamp });
     }
-    for (const wake of [...this.watchers]) wake();
+    for (const notify of [...this.watchers]) notify();
   }
 
   private recordChange(change: Change): void {
@@ -147,12 +147,12 @@
     return { status: 200, body: { epoch: this.epoch } };
   }
 
-  private watch(url: URL, refused: () => boolean): Promise<Reply> {
+  private watch(url: URL, isRefused: () => boolean): Promise<Reply> {
     const prefix = url.searchParams.get("starts") ?? "";
     const since = Number(url.searchParams.get("since"));
-    const found = (): Change[] => {
+    const newChanges = (): Change[] => {
       const events: Change[] = [];
-      // Newest first: a watch has seen all but the last few.
+      // Scans from the newest change back, since a watch has already seen all but the last few.
       for (let i = this.changes.length - 1; i >= 0 && this.changes[i]!.stamp > since; i--) {
         const change = this.changes[i]!;
         if (("put" in change ? change.put : change.remove).startsWith(prefix)) events.push(change);
@@ -160,18 +160,18 @@
       return events.reverse();
     };
     return new Promise((resolve) => {
-      const answer = (): void => {
-        if (refused()) return;
+      const respond = (): void => {
+        if (isRefused()) return;
         clearTimeout(timer);
-        this.watchers.delete(wake);
-        resolve({ status: 200, body: { epoch: this.epoch, events: found() } });
+        this.watchers.delete(notify);
+        resolve({ status: 200, body: { epoch: this.epoch, events: newChanges() } });
       };
-      const wake = (): void => {
-        if (found().length > 0) answer();
+      const notify = (): void => {
+        if (newChanges().length > 0) respond();
       };
-      const timer = setTimeout(answer, Number(url.searchParams.get("waitMs") ?? 0));
-      this.watchers.add(wake);
-      wake();
+      const timer = setTimeout(respond, Number(url.searchParams.get("waitMs") ?? 0));
+      this.watchers.add(notify);
+      notify();
     });
   }
 
@@ -179,43 +179,43 @@
     const prefix = url.searchParams.get("starts") ?? "";
     const after = url.searchParams.get("since") ?? "";
     const limit = Number(url.searchParams.get("limit") ?? 1000);
-    const all = this.keys(prefix)
+    const matching = this.keys(prefix)
       .filter((key) => key > after)
       .sort();
-    const items = all.slice(0, limit).map((path) => ({ path, ...this.store.get(path)! }));
-    return { status: 200, body: { items, truncated: all.length > limit, epoch: this.epoch } };
+    const items = matching.slice(0, limit).map((path) => ({ path, ...this.store.get(path)! }));
+    return { status: 200, body: { items, truncated: matching.length > limit, epoch: this.epoch } };
   }
 }
 
-/** A fake of the state service that listens. */
+/** A running fake of the state service. */
 export interface FakeStateService {
   store: FakeStateStore;
-  /** An address for each node, so that each can be refused alone. */
+  /** One address per node, so that the requests of a single node can be refused. */
   addresses: string[];
   close(): void;
 }
 
-/** What happens to a transaction: it is executed and answered, its answer is lost, or it is executed late. */
+/** How a transaction is handled: executed and answered, executed without a response, or executed late without one. */
 export type TransactionDelivery = "answered" | "answer_lost" | { lateMs: number };
 
-/** An answer that never comes. */
-const never = (): Promise<Reply> => new Promise(() => undefined);
+/** A reply that never resolves. */
+const neverReply = (): Promise<Reply> => new Promise(() => undefined);
 
-/** Starts the fake on loopback, with a server for each node. */
+/** Starts the fake on the loopback interface, with one server per node. */
 export async function startFakeStateService(
   nodes: number,
-  fateOf: () => TransactionDelivery = () => "answered",
+  deliveryOf: () => TransactionDelivery = () => "answered",
 ): Promise<FakeStateService> {
   const store = new FakeStateStore();
   const handle = (node: number, method: string, url: URL, body: unknown): Reply | Promise<Reply> => {
-    const fate = url.pathname === "/multi" ? fateOf() : "answered";
-    if (fate === "answered") return store.handle(node, method, url, body);
-    if (fate === "answer_lost") void store.handle(node, method, url, body);
+    const delivery = url.pathname === "/multi" ? deliveryOf() : "answered";
+    if (delivery === "answered") return store.handle(node, method, url, body);
+    if (delivery === "answer_lost") void store.handle(node, method, url, body);
     else
       setTimeout(() => {
         store.executeDelayed(body);
-      }, fate.lateMs).unref();
-    return never();
+      }, delivery.lateMs).unref();
+    return neverReply();
   };
   const listenForNode = (node: number): Promise<Listening> =>
     listen((method, url, body) => handle(node, method, url, body));
