--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -103,7 +103,7 @@
       minPreemptionIntervalMs: 1000,
       maxTicksWithoutHeartbeat: 8,
     },
-    state: { txnOps: 8 } as unknown as StateStoreClient,
+    state: { maxTransactionWrites: 8 } as unknown as StateStoreClient,
     view: new FakeView(),
     fleet: new Fleet(silentLogger),
     clock,
