--- a/test/half-cut.test.ts
+++ b/test/half-cut.test.ts
@@ -108,9 +108,10 @@
 const ownerOf = (cluster: Cluster): number =>
   cluster.nodes.findIndex(({ node }) => node === cluster.ownerOf(0));
 
+/** The index of the leader; -1 while there is none, between a resignation and the next election. */
 const leaderOf = (cluster: Cluster): number => {
-  const { node } = cluster.state.value("fernpond/live/leader") as { node: string };
-  return cluster.nodes.findIndex((entry) => entry.node === node);
+  const leader = cluster.state.value("fernpond/live/leader") as { node: string } | undefined;
+  return cluster.nodes.findIndex(({ node }) => node === leader?.node);
 };
 
 interface StateCut {
