--- a/src/http/heartbeat-endpoint.ts
+++ b/src/http/heartbeat-endpoint.ts
@@ -19,7 +19,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** Called by a connection that leaves the endpoint. */
+/** Callbacks for a connection that leaves the endpoint. */
 interface ConnectionCallbacks {
   /** Passes the connection to the HTTP server. */
   passToHttpServer(socket: Socket): void;
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -6,7 +6,7 @@
 import type { Frame, PeerReply, PeerRequest } from "./peer-messages.js";
 import { PeerUnreachableError, type LinkViewExchange } from "./peer-network.js";
 
-/** Further requests fail at once, as if the peer were unreachable; this bounds the memory for pending requests. */
+/** The most unanswered requests per peer; further ones fail as if the peer were unreachable, which bounds the queue. */
 const MAX_PENDING_REQUESTS = 256;
 
 /** A connection on which nothing is received for this many request timeouts is closed. */
