--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -69,49 +69,49 @@
 }
 
 /** Plays something in a deployment of its own. */
-async function inWorld<T>(
+async function withSimulation<T>(
   seed: number,
   mode: MonitorMode,
-  play: (world: Simulation) => Promise<T>,
+  play: (simulation: Simulation) => Promise<T>,
 ): Promise<T> {
-  const world = begin(seed, mode);
+  const simulation = begin(seed, mode);
   try {
-    return await play(world);
+    return await play(simulation);
   } finally {
-    world.close();
+    simulation.close();
   }
 }
 
 function isIn(state: LinkState, node: SimulatedNode, link: string, direction: Direction): boolean {
-  const links = node.life?.controller.httpDependencies.linkStatus().links ?? [];
+  const links = node.instance?.controller.httpDependencies.linkStatus().links ?? [];
   return links.some((of) => of.link.startsWith(link) && of.direction === direction && of.state === state);
 }
 
 /** Report intervals until something holds; null if it never does. */
-async function reportsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
-  const since = world.now;
-  const happened = await world.runUntil(met, GIVE_UP_MS);
-  return happened ? (world.now - since) / world.settings.workers.heartbeatIntervalMs : null;
+async function reportsUntil(simulation: Simulation, met: () => boolean): Promise<number | null> {
+  const since = simulation.now;
+  const happened = await simulation.runUntil(met, GIVE_UP_MS);
+  return happened ? (simulation.now - since) / simulation.settings.workers.heartbeatIntervalMs : null;
 }
 
-function victimOf(world: Simulation, link: ScheduledLink): SimulatedNode {
-  return (link === "cloud" ? world.leader() : world.ownerOf(0)) ?? world.nodes[0]!;
+function victimOf(simulation: Simulation, link: ScheduledLink): SimulatedNode {
+  return (link === "cloud" ? simulation.leader() : simulation.ownerOf(0)) ?? simulation.nodes[0]!;
 }
 
 async function react(seed: number, link: ScheduledLink, direction: Direction, into: Reaction): Promise<void> {
-  await inWorld(seed, "enforce", async (world) => {
+  await withSimulation(seed, "enforce", async (simulation) => {
     let over = false;
-    void work(world, () => over, 1000);
-    await world.run(WARM_UP_MS);
-    const node = victimOf(world, link);
+    void work(simulation, () => over, 1000);
+    await simulation.run(WARM_UP_MS);
+    const node = victimOf(simulation, link);
     const shown = link === "peers" ? "peer:" : link;
     node.cut[link] = direction;
-    const since = world.now;
-    const handled = handledBy(world, node, link);
+    const since = simulation.now;
+    const handled = handledBy(simulation, node, link);
     const after: { shown: number | null; handled: number | null } = { shown: null, handled: null };
     // A shard that has passed on leaves no workers to be missed: what comes first ends the other's chance.
-    await world.runUntil(() => {
-      const reports = (world.now - since) / world.settings.workers.heartbeatIntervalMs;
+    await simulation.runUntil(() => {
+      const reports = (simulation.now - since) / simulation.settings.workers.heartbeatIntervalMs;
       if (isIn("down", node, shown, direction)) after.shown ??= reports;
       if (handled?.()) after.handled ??= reports;
       return handled === null ? after.shown !== null : after.handled !== null;
@@ -120,15 +120,15 @@
     if (handled !== null) into.handled.push(after.handled);
     node.cut[link] = false;
     if (link !== "workers" && link !== "cloud")
-      into.recovered.push(await reportsUntil(world, () => isIn("up", node, shown, direction)));
+      into.recovered.push(await reportsUntil(simulation, () => isIn("up", node, shown, direction)));
     over = true;
   });
 }
 
 /** When another does what a cut controller cannot; null where there is nothing of the kind. */
-function handledBy(world: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
-  if (link === "state" || link === "workers") return () => world.ownerOf(0) !== node;
-  if (link === "cloud") return () => world.leader() !== undefined && world.leader() !== node;
+function handledBy(simulation: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
+  if (link === "state" || link === "workers") return () => simulation.ownerOf(0) !== node;
+  if (link === "cloud") return () => simulation.leader() !== undefined && simulation.leader() !== node;
   return null;
 }
 
@@ -148,10 +148,10 @@
 /** Counts how often a link goes down although none is cut. */
 async function falseAlarms(seeds: number): Promise<FalseAlarms[]> {
   const MINUTES = 3;
-  const overload = (world: Simulation): void => {
-    world.stateLatencyMs = 400;
-    world.answersHeldMs = 2000;
-    world.workers.copies = 0.3;
+  const overload = (simulation: Simulation): void => {
+    simulation.stateLatencyMs = 400;
+    simulation.maxResponseDelayMs = 2000;
+    simulation.workers.copies = 0.3;
   };
   const found: FalseAlarms[] = [];
   for (const [schedule, prepare] of [
@@ -160,23 +160,23 @@
   ] as const) {
     const downs: Record<string, number> = {};
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, "enforce", async (world) => {
-        prepare(world);
-        await countDowns(world, MINUTES * 60_000, downs);
+      await withSimulation(seed, "enforce", async (simulation) => {
+        prepare(simulation);
+        await countDowns(simulation, MINUTES * 60_000, downs);
       });
     found.push({ schedule, minutes: MINUTES * seeds, downs });
   }
   return found;
 }
 
-async function countDowns(world: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
+async function countDowns(simulation: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
   let over = false;
-  void work(world, () => over, 1000);
+  void work(simulation, () => over, 1000);
   let before = new Set<string>();
-  const until = world.now + ms;
-  while (world.now < until) {
-    await world.run(500);
-    const down = downDirections(world);
+  const until = simulation.now + ms;
+  while (simulation.now < until) {
+    await simulation.run(500);
+    const down = downDirections(simulation);
     for (const found of down) {
       if (before.has(found)) continue;
       const link = found.replace(/^\S+ /, "").replace(/:\S+/, "");
@@ -187,10 +187,11 @@
   over = true;
 }
 
-function downDirections(world: Simulation): Set<string> {
+function downDirections(simulation: Simulation): Set<string> {
   const down = new Set<string>();
-  for (const node of world.nodes)
-    for (const { link, direction, state } of node.life?.controller.httpDependencies.linkStatus().links ?? [])
+  for (const node of simulation.nodes)
+    for (const { link, direction, state } of node.instance?.controller.httpDependencies.linkStatus().links ??
+      [])
       if (state === "down") down.add(`${node.name} ${link} ${direction}`);
   return down;
 }
@@ -201,16 +202,16 @@
   for (const mode of ["off", "observe", "enforce"] as const) {
     const cost: Cost = { mode, peerQuestions: 0, stateRequests: 0, cpuMs: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, mode, async (world) => {
+      await withSimulation(seed, mode, async (simulation) => {
         let over = false;
-        void work(world, () => over, 1000);
-        await world.run(WARM_UP_MS);
-        const before = { questions: world.peerQuestions, requests: world.store.requests };
+        void work(simulation, () => over, 1000);
+        await simulation.run(WARM_UP_MS);
+        const before = { questions: simulation.peerRequestCount, requests: simulation.store.requests };
         const cpu = process.cpuUsage();
-        await world.run(MINUTES * 60_000);
+        await simulation.run(MINUTES * 60_000);
         const used = process.cpuUsage(cpu);
-        cost.peerQuestions += (world.peerQuestions - before.questions) / MINUTES / seeds;
-        cost.stateRequests += (world.store.requests - before.requests) / MINUTES / seeds;
+        cost.peerQuestions += (simulation.peerRequestCount - before.questions) / MINUTES / seeds;
+        cost.stateRequests += (simulation.store.requests - before.requests) / MINUTES / seeds;
         cost.cpuMs += (used.user + used.system) / 1000 / MINUTES / seeds;
         over = true;
       });
@@ -220,12 +221,19 @@
 }
 
 /** Cuts of one controller's link after the other, each direction, as a schedule for all modes alike. */
-function schedule(world: Simulation): ScheduledFault[] {
+function schedule(simulation: Simulation): ScheduledFault[] {
   const faults: ScheduledFault[] = [];
   for (let i = 0; i < 6; i++) {
-    const link = (["state", "workers", "cloud"] as const)[world.pick(3)]!;
-    const cut = ([true, "inbound", "outbound"] as const)[world.pick(3)]!;
-    faults.push({ kind: "cut", at: i * 25_000, node: world.pick(CONTROLLERS), link, cut, forMs: 20_000 });
+    const link = (["state", "workers", "cloud"] as const)[simulation.randomBelow(3)]!;
+    const cut = ([true, "inbound", "outbound"] as const)[simulation.randomBelow(3)]!;
+    faults.push({
+      kind: "cut",
+      at: i * 25_000,
+      node: simulation.randomBelow(CONTROLLERS),
+      link,
+      cut,
+      forMs: 20_000,
+    });
   }
   return faults;
 }
@@ -235,17 +243,17 @@
   for (const mode of ["off", "enforce"] as const) {
     const sum: Progress = { mode, tasksDone: 0, starts: 0, shardMoves: 0, broken: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, mode, async (world) => {
-        await world.run(10_000);
-        world.store.onChange = (change) => {
+      await withSimulation(seed, mode, async (simulation) => {
+        await simulation.run(10_000);
+        simulation.store.onChange = (change) => {
           if ("put" in change && change.put.startsWith("fernpond/live/shards/")) sum.shardMoves++;
         };
         let over = false;
-        void playSchedule(world, schedule(world)).then(() => (over = true));
-        await work(world, () => over, 1000);
-        for (const job of world.jobs.values()) sum.tasksDone += job.completed.size;
-        sum.starts += world.cloud.starts.length;
-        sum.broken += world.broken.length;
+        void playSchedule(simulation, schedule(simulation)).then(() => (over = true));
+        await work(simulation, () => over, 1000);
+        for (const job of simulation.jobs.values()) sum.tasksDone += job.completed.size;
+        sum.starts += simulation.cloud.starts.length;
+        sum.broken += simulation.violations.length;
       });
     all.push(sum);
   }
--- a/test/support/cancellation-chains.ts
+++ b/test/support/cancellation-chains.ts
@@ -10,57 +10,57 @@
 const RESTART_MS = 300;
 
 /** Starts a job whose tasks all run on one machine, for longer than the test takes. */
-async function runJobOnOneMachine(world: Simulation): Promise<UserJob> {
-  (world.workers.runOf ??= new Map()).set("req-1", RUN_MS);
-  const job = world.submit("req-1", { pieces: TASKS_PER_MACHINE, guessS: RUN_MS / 1000 });
-  const allRunning = (): boolean => world.runningOf(job) === TASKS_PER_MACHINE;
-  assert.ok(await world.runUntil(allRunning, 120_000), "all tasks run");
+async function runJobOnOneMachine(simulation: Simulation): Promise<UserJob> {
+  (simulation.workers.runOf ??= new Map()).set("req-1", RUN_MS);
+  const job = simulation.submit("req-1", { pieces: TASKS_PER_MACHINE, guessS: RUN_MS / 1000 });
+  const allRunning = (): boolean => simulation.runningTaskCount(job) === TASKS_PER_MACHINE;
+  assert.ok(await simulation.runUntil(allRunning, 120_000), "all tasks run");
   return job;
 }
 
 /** The highest token seen by the worker that runs the job's tasks; null if none of them runs. */
-function highestTokenAtWorker(world: Simulation, job: UserJob): number | null {
-  for (const worker of world.cloud.machines.values())
-    for (const piece of worker.running) if (world.jobOf(piece) === job) return worker.highestToken;
+function highestTokenAtWorker(simulation: Simulation, job: UserJob): number | null {
+  for (const worker of simulation.cloud.machines.values())
+    for (const piece of worker.running) if (simulation.jobOfTask(piece) === job) return worker.highestToken;
   return null;
 }
 
 /** Waits until an owner with a newer token has responded to the job's worker, or no task of the job runs. */
 async function waitForNewOwnersResponse(
-  world: Simulation,
+  simulation: Simulation,
   job: UserJob,
   previousToken: number,
 ): Promise<boolean> {
-  return world.runUntil(() => {
-    const token = highestTokenAtWorker(world, job);
+  return simulation.runUntil(() => {
+    const token = highestTokenAtWorker(simulation, job);
     return token === null || token > previousToken;
   }, 60_000);
 }
 
 /** Stops each owner right after its first response to the job's worker, for longer than a cancellation may take. */
 async function stopOwnersAfterFirstResponse(
-  world: Simulation,
+  simulation: Simulation,
   job: UserJob,
   stopOwner: (owner: SimulatedNode) => Promise<void>,
 ): Promise<void> {
-  const until = world.now + world.settings.workers.cancelMs + world.settings.workers.leaseMs;
-  while (world.now < until) {
-    const token = highestTokenAtWorker(world, job);
+  const until = simulation.now + simulation.settings.workers.cancelMs + simulation.settings.workers.leaseMs;
+  while (simulation.now < until) {
+    const token = highestTokenAtWorker(simulation, job);
     if (token === null) return;
-    await stopOwner(world.ownerOf(0)!);
-    await waitForNewOwnersResponse(world, job, token);
+    await stopOwner(simulation.ownerOf(0)!);
+    await waitForNewOwnersResponse(simulation, job, token);
   }
 }
 
 /** Has another controller cancel a running job while the state service refuses the owner, which cannot see this. */
-async function cancelUnseenByOwner(world: Simulation): Promise<UserJob> {
-  const job = await runJobOnOneMachine(world);
-  const owner = world.ownerOf(0)!;
-  const other = world.nodes.find((node) => node !== owner)!;
-  world.store.refused.add(owner.index);
-  await Promise.race([world.cancel(job, other), world.run(5000)]);
+async function cancelUnseenByOwner(simulation: Simulation): Promise<UserJob> {
+  const job = await runJobOnOneMachine(simulation);
+  const owner = simulation.ownerOf(0)!;
+  const other = simulation.nodes.find((node) => node !== owner)!;
+  simulation.store.refused.add(owner.index);
+  await Promise.race([simulation.cancel(job, other), simulation.run(5000)]);
   assert.ok(job.cancelledAt !== null, "the cancellation is confirmed");
-  world.store.refused.delete(owner.index);
+  simulation.store.refused.delete(owner.index);
   return job;
 }
 
@@ -68,24 +68,24 @@
 export const cancellationChains: FaultCombination[] = [
   {
     name: "a job is cancelled while its owner repeatedly crashes after its first response to each worker and restarts",
-    async play(world) {
-      const job = await cancelUnseenByOwner(world);
-      await stopOwnersAfterFirstResponse(world, job, async (current) => {
-        world.crash(current);
-        await world.run(RESTART_MS);
-        world.launch(current);
+    async run(simulation) {
+      const job = await cancelUnseenByOwner(simulation);
+      await stopOwnersAfterFirstResponse(simulation, job, async (current) => {
+        simulation.crash(current);
+        await simulation.run(RESTART_MS);
+        simulation.startNode(current);
       });
     },
   },
   {
     name: "a job is cancelled while owners succeed each other, each crashing before any worker reports to it twice",
-    async play(world) {
-      const job = await cancelUnseenByOwner(world);
-      await stopOwnersAfterFirstResponse(world, job, async (current) => {
-        world.crash(current);
+    async run(simulation) {
+      const job = await cancelUnseenByOwner(simulation);
+      await stopOwnersAfterFirstResponse(simulation, job, async (current) => {
+        simulation.crash(current);
         // The crashed controller is restarted only once another one owns the shard.
-        await world.runUntil(() => world.ownerOf(0) !== current, 20_000);
-        world.launch(current);
+        await simulation.runUntil(() => simulation.ownerOf(0) !== current, 20_000);
+        simulation.startNode(current);
       });
     },
   },
--- a/test/support/faults.ts
+++ b/test/support/faults.ts
@@ -3,149 +3,162 @@
 import { submission } from "./cluster.js";
 import type { Cuts, Simulation, SimulatedNode, UserJob } from "./simulation.js";
 
-type Fault = (world: Simulation, forMs: number) => Promise<void>;
+type Fault = (simulation: Simulation, forMs: number) => Promise<void>;
 
-const anyNode = (world: Simulation): SimulatedNode => world.nodes[world.pick(world.nodes.length)]!;
+const randomNode = (simulation: Simulation): SimulatedNode =>
+  simulation.nodes[simulation.randomBelow(simulation.nodes.length)]!;
 
 /** The node that leads, or owns the first shard, or any: where it hurts most. */
-const busiest = (world: Simulation): SimulatedNode =>
-  [world.leader(), world.ownerOf(0), anyNode(world)][world.pick(3)] ?? anyNode(world);
+const randomFaultTarget = (simulation: Simulation): SimulatedNode =>
+  [simulation.leader(), simulation.ownerOf(0), randomNode(simulation)][simulation.randomBelow(3)] ??
+  randomNode(simulation);
 
-async function cut(world: Simulation, forMs: number, what: (keyof Cuts)[]): Promise<void> {
-  const node = busiest(world);
+async function cutLinks(simulation: Simulation, forMs: number, what: (keyof Cuts)[]): Promise<void> {
+  const node = randomFaultTarget(simulation);
   for (const from of what) node.cut[from] = true;
   await sleep(forMs);
   for (const from of what) node.cut[from] = false;
 }
 
-async function crash(world: Simulation, node: SimulatedNode, backMs: number): Promise<void> {
-  world.crash(node);
+async function crash(simulation: Simulation, node: SimulatedNode, backMs: number): Promise<void> {
+  simulation.crash(node);
   await sleep(backMs);
   // Another fault may have brought it back meanwhile.
-  if (node.life === null) world.launch(node);
+  if (node.instance === null) simulation.startNode(node);
 }
 
 /** A return within a fraction of a second is as likely as one after some seconds. */
-const backAfter = (world: Simulation): number => (world.chance() < 0.5 ? 300 : 3000) * (0.5 + world.chance());
+const randomDowntimeMs = (simulation: Simulation): number =>
+  (simulation.randomFraction() < 0.5 ? 300 : 3000) * (0.5 + simulation.randomFraction());
 
-const someMachines = (world: Simulation) =>
-  [...world.cloud.machines.values()].filter(() => world.chance() < 0.4);
+const randomMachines = (simulation: Simulation) =>
+  [...simulation.cloud.machines.values()].filter(() => simulation.randomFraction() < 0.4);
 
-async function ail(
-  world: Simulation,
+async function impairMachines(
+  simulation: Simulation,
   forMs: number,
   how: "responsesLost" | "reportsLost" | "sick",
 ): Promise<void> {
-  const machines = someMachines(world);
+  const machines = randomMachines(simulation);
   for (const machine of machines) machine[how] = true;
   await sleep(forMs);
   for (const machine of machines) machine[how] = false;
 }
 
-const openJobs = (world: Simulation): UserJob[] =>
-  [...world.jobs.values()].filter((job) => job.accepted && !job.hasEnded && !job.cancelRequested);
+const cancellableJobs = (simulation: Simulation): UserJob[] =>
+  [...simulation.jobs.values()].filter((job) => job.accepted && !job.hasEnded && !job.cancelRequested);
 
 export const faults: Record<string, Fault> = {
-  crash: (world) => crash(world, busiest(world), backAfter(world)),
-  async crashOfAll(world) {
-    await Promise.all(world.nodes.map((node) => crash(world, node, backAfter(world))));
+  crash: (simulation) => crash(simulation, randomFaultTarget(simulation), randomDowntimeMs(simulation)),
+  async crashAllNodes(simulation) {
+    await Promise.all(simulation.nodes.map((node) => crash(simulation, node, randomDowntimeMs(simulation))));
   },
-  async allAway(world, forMs) {
-    await Promise.all(world.nodes.map((node) => crash(world, node, forMs)));
+  async allNodesDown(simulation, forMs) {
+    await Promise.all(simulation.nodes.map((node) => crash(simulation, node, forMs)));
   },
-  async leadersChange(world) {
+  async repeatedLeaderCrashes(simulation) {
     for (let i = 0; i < 5; i++) {
-      const leader = world.leader();
-      if (leader) await crash(world, leader, backAfter(world));
-      await sleep(5000 * world.chance());
+      const leader = simulation.leader();
+      if (leader) await crash(simulation, leader, randomDowntimeMs(simulation));
+      await sleep(5000 * simulation.randomFraction());
     }
   },
-  cutFromState: (world, forMs) => cut(world, forMs, ["state"]),
-  cutFromStateAndPeers: (world, forMs) => cut(world, forMs, ["state", "peers"]),
-  cutFromWorkers: (world, forMs) => cut(world, forMs, ["workers"]),
-  cutFromAll: (world, forMs) => cut(world, forMs, ["state", "peers", "workers"]),
-  async zoneCut(world, forMs) {
-    world.cutZone = world.chance() < 0.5 ? "north" : "south";
+  cutFromState: (simulation, forMs) => cutLinks(simulation, forMs, ["state"]),
+  cutFromStateAndPeers: (simulation, forMs) => cutLinks(simulation, forMs, ["state", "peers"]),
+  cutFromWorkers: (simulation, forMs) => cutLinks(simulation, forMs, ["workers"]),
+  cutFromAll: (simulation, forMs) => cutLinks(simulation, forMs, ["state", "peers", "workers"]),
+  async zoneIsolated(simulation, forMs) {
+    simulation.isolatedZone = simulation.randomFraction() < 0.5 ? "north" : "south";
     await sleep(forMs);
-    world.cutZone = null;
+    simulation.isolatedZone = null;
   },
-  async answersHeld(world, forMs) {
-    world.answersHeldMs = 6000;
+  async responsesDelayed(simulation, forMs) {
+    simulation.maxResponseDelayMs = 6000;
     await sleep(forMs);
-    world.answersHeldMs = 0;
+    simulation.maxResponseDelayMs = 0;
   },
-  async refusedAlone(world, forMs) {
-    const { index } = busiest(world);
-    world.store.refused.add(index);
+  async stateServiceRefusesOneNode(simulation, forMs) {
+    const { index } = randomFaultTarget(simulation);
+    simulation.store.refused.add(index);
     await sleep(forMs);
-    world.store.refused.delete(index);
+    simulation.store.refused.delete(index);
   },
-  async outage(world, forMs) {
-    world.store.down = true;
+  async stateServiceOutage(simulation, forMs) {
+    simulation.store.down = true;
     await sleep(forMs);
-    world.store.down = false;
+    simulation.store.down = false;
   },
-  async slowState(world, forMs) {
-    world.stateLatencyMs = 400;
+  async stateServiceSlow(simulation, forMs) {
+    simulation.stateLatencyMs = 400;
     await sleep(forMs);
-    world.stateLatencyMs = 4;
+    simulation.stateLatencyMs = 4;
   },
-  async lateWrites(world, forMs) {
-    world.lateWrites = 0.3;
+  async transactionsDelayed(simulation, forMs) {
+    simulation.delayedTransactionShare = 0.3;
     await sleep(forMs);
-    world.lateWrites = 0;
+    simulation.delayedTransactionShare = 0;
   },
-  async lateReports(world, forMs) {
-    world.workers.copies = 0.3;
+  async heartbeatsDuplicated(simulation, forMs) {
+    simulation.workers.copies = 0.3;
     await sleep(forMs);
-    world.workers.copies = 0;
+    simulation.workers.copies = 0;
   },
-  async machinesHang(world, forMs) {
-    await Promise.all(someMachines(world).map((machine) => machine.hang(forMs / 2)));
+  async machinesHang(simulation, forMs) {
+    await Promise.all(randomMachines(simulation).map((machine) => machine.hang(forMs / 2)));
   },
-  machineResponsesLost: (world, forMs) => ail(world, forMs, "responsesLost"),
-  machineReportsLost: (world, forMs) => ail(world, forMs, "reportsLost"),
-  machinesSick: (world, forMs) => ail(world, forMs, "sick"),
-  machinesDie(world) {
-    for (const { host } of someMachines(world)) world.cloud.machines.get(host)?.stop();
+  machineResponsesLost: (simulation, forMs) => impairMachines(simulation, forMs, "responsesLost"),
+  machineHeartbeatsLost: (simulation, forMs) => impairMachines(simulation, forMs, "reportsLost"),
+  machinesFailTasks: (simulation, forMs) => impairMachines(simulation, forMs, "sick"),
+  machinesTerminated(simulation) {
+    for (const { host } of randomMachines(simulation)) simulation.cloud.machines.get(host)?.stop();
     return Promise.resolve();
   },
-  async cancelNow(world) {
-    const jobs = openJobs(world).slice(0, 4);
-    const hung = someMachines(world).map((machine) => machine.hang(8000));
-    await Promise.all([...jobs.map((job) => world.cancel(job)), ...hung]);
+  async cancelDuringHangs(simulation) {
+    const jobs = cancellableJobs(simulation).slice(0, 4);
+    const hung = randomMachines(simulation).map((machine) => machine.hang(8000));
+    await Promise.all([...jobs.map((job) => simulation.cancel(job)), ...hung]);
   },
   /** Users call jobs off at the very end of their last task. */
-  async cancelAtEnd(world, forMs) {
-    const until = world.now + forMs;
-    while (world.now < until) {
-      for (const job of openJobs(world))
-        if (job.completed.size === Number(job.body.pieces)) void world.cancel(job);
+  async cancelAtCompletion(simulation, forMs) {
+    const until = simulation.now + forMs;
+    while (simulation.now < until) {
+      for (const job of cancellableJobs(simulation))
+        if (job.completed.size === Number(job.body.pieces)) void simulation.cancel(job);
       await sleep(50);
     }
   },
   /** Repeats of what is known already, and what can't run or lacks a field. */
-  async oddRequests(world, forMs) {
-    const until = world.now + forMs;
-    while (world.now < until) {
-      const jobs = [...world.jobs.values()].filter((job) => job.accepted);
-      const job = jobs[world.pick(jobs.length)];
-      if (job) void world.repeat(job);
-      void world.odd(submission(`req-9${world.pick(1e6)}`, { vcpus: 99 }), 422);
-      void world.odd(submission(`req-9${world.pick(1e6)}`, { guessS: undefined }), 400);
+  async invalidRequests(simulation, forMs) {
+    const until = simulation.now + forMs;
+    while (simulation.now < until) {
+      const jobs = [...simulation.jobs.values()].filter((job) => job.accepted);
+      const job = jobs[simulation.randomBelow(jobs.length)];
+      if (job) void simulation.resubmit(job);
+      void simulation.submitInvalid(submission(`req-9${simulation.randomBelow(1e6)}`, { vcpus: 99 }), 422);
+      void simulation.submitInvalid(
+        submission(`req-9${simulation.randomBelow(1e6)}`, { guessS: undefined }),
+        400,
+      );
       await sleep(1000);
     }
   },
 };
 
 /** So many faults, which begin within a spell of simulated time and may overlap; resolves when all are over. */
-export async function combineAtRandom(world: Simulation, count: number, spellMs: number): Promise<string[]> {
+export async function injectRandomFaults(
+  simulation: Simulation,
+  count: number,
+  spellMs: number,
+): Promise<string[]> {
   const names = Object.keys(faults);
-  const chosen = Array.from({ length: count }, () => names[world.pick(names.length)]!);
+  const chosen = Array.from({ length: count }, () => names[simulation.randomBelow(names.length)]!);
   await Promise.all(
     chosen.map(async (name) => {
-      await sleep(world.chance() * spellMs);
-      await faults[name]!(world, 1000 + world.chance() * world.chance() * 60_000);
+      await sleep(simulation.randomFraction() * spellMs);
+      await faults[name]!(
+        simulation,
+        1000 + simulation.randomFraction() * simulation.randomFraction() * 60_000,
+      );
     }),
   );
   return chosen;
--- a/test/support/link-cuts.ts
+++ b/test/support/link-cuts.ts
@@ -3,7 +3,7 @@
 import type { Cut, Cuts, Simulation } from "./simulation.js";
 
 /** A link that a schedule cuts. */
-export type ScheduledLink = Exclude<keyof Cuts, "feed">;
+export type ScheduledLink = Exclude<keyof Cuts, "watches">;
 
 /** Something that goes wrong, when, and for how long. */
 export type ScheduledFault =
@@ -13,38 +13,38 @@
   | { kind: "outage"; at: number; forMs: number };
 
 /** Plays all faults of a schedule; resolves when the last is over. Cuts of one link that overlap end with the last. */
-export async function playSchedule(world: Simulation, schedule: ScheduledFault[]): Promise<void> {
-  await Promise.all(schedule.map((fault) => playFault(world, fault)));
-  for (const node of world.nodes)
+export async function playSchedule(simulation: Simulation, schedule: ScheduledFault[]): Promise<void> {
+  await Promise.all(schedule.map((fault) => playFault(simulation, fault)));
+  for (const node of simulation.nodes)
     for (const link of ["state", "peers", "workers", "cloud", "users"] as const) node.cut[link] = false;
 }
 
-async function playFault(world: Simulation, fault: ScheduledFault): Promise<void> {
+async function playFault(simulation: Simulation, fault: ScheduledFault): Promise<void> {
   await sleep(fault.at);
   switch (fault.kind) {
     case "cut": {
-      const { cut } = world.nodes[fault.node]!;
+      const { cut } = simulation.nodes[fault.node]!;
       cut[fault.link] = fault.cut;
       await sleep(fault.forMs);
       cut[fault.link] = false;
       return;
     }
     case "restart": {
-      const node = world.nodes[fault.node]!;
-      world.crash(node);
+      const node = simulation.nodes[fault.node]!;
+      simulation.crash(node);
       await sleep(fault.awayMs);
-      if (node.life === null) world.launch(node);
+      if (node.instance === null) simulation.startNode(node);
       return;
     }
     case "refused":
-      world.store.refused.add(fault.node);
+      simulation.store.refused.add(fault.node);
       await sleep(fault.forMs);
-      world.store.refused.delete(fault.node);
+      simulation.store.refused.delete(fault.node);
       return;
     case "outage":
-      world.store.down = true;
+      simulation.store.down = true;
       await sleep(fault.forMs);
-      world.store.down = false;
+      simulation.store.down = false;
       return;
   }
 }
--- a/test/support/workload.ts
+++ b/test/support/workload.ts
@@ -27,36 +27,36 @@
   { breeds: ["small"] },
 ];
 
-function oneOf<T>(world: Simulation, values: readonly T[]): T {
-  return values[world.pick(values.length)]!;
+function oneOf<T>(simulation: Simulation, values: readonly T[]): T {
+  return values[simulation.randomBelow(values.length)]!;
 }
 
 /** The part of the jobs that fail wherever they run. */
 const MISTAKEN = 0.06;
 
 /** Until its user has seen enough of it. */
-async function mistaken(world: Simulation, job: UserJob): Promise<void> {
-  (world.workers.faulty ??= new Set()).add(job.id);
-  await sleep(60_000 + world.chance() * 60_000);
-  await world.cancel(job);
+async function mistaken(simulation: Simulation, job: UserJob): Promise<void> {
+  (simulation.workers.faulty ??= new Set()).add(job.id);
+  await sleep(60_000 + simulation.randomFraction() * 60_000);
+  await simulation.cancel(job);
 }
 
 /** Jobs come, a few seconds apart, for as long as is said; most tasks are short, some long. */
-export async function work(world: Simulation, until: () => boolean, most = 60): Promise<void> {
-  const runs = (world.workers.runOf ??= new Map<string, number>());
+export async function work(simulation: Simulation, until: () => boolean, most = 60): Promise<void> {
+  const runs = (simulation.workers.runOf ??= new Map<string, number>());
   for (let i = 0; !until(); i++) {
     if (i < most) {
       const id = `req-${i}`;
-      runs.set(id, 1000 + world.chance() ** 2 * 30_000);
-      const job = world.submit(id, {
-        pieces: 1 + world.pick(12),
-        crew: oneOf(world, ["free", "capped", "tight"]),
-        vcpus: oneOf(world, [0.5, 1, 2, 3]),
-        rank: oneOf(world, ["best_effort", "normal", "urgent", "critical"]),
-        ...oneOf(world, SHAPES),
+      runs.set(id, 1000 + simulation.randomFraction() ** 2 * 30_000);
+      const job = simulation.submit(id, {
+        pieces: 1 + simulation.randomBelow(12),
+        crew: oneOf(simulation, ["free", "capped", "tight"]),
+        vcpus: oneOf(simulation, [0.5, 1, 2, 3]),
+        rank: oneOf(simulation, ["best_effort", "normal", "urgent", "critical"]),
+        ...oneOf(simulation, SHAPES),
       });
-      if (world.chance() < MISTAKEN) void mistaken(world, job);
+      if (simulation.randomFraction() < MISTAKEN) void mistaken(simulation, job);
     }
-    await world.run(500 + world.chance() * 4000);
+    await simulation.run(500 + simulation.randomFraction() * 4000);
   }
 }
