--- a/src/http/heartbeat-endpoint.ts
+++ b/src/http/heartbeat-endpoint.ts
@@ -1,37 +1,38 @@
 /**
- * Heartbeats on kept connections. Heartbeats are most of the requests to a controller, and an HTTP server costs several
- * times what is done with one (docs/design.md has the measurements). So a connection is read here as long as it carries
- * plain heartbeats; with its first request of any other kind it is passed to the HTTP server, unread bytes included.
+ * A fast path for heartbeats on persistent connections. Most requests to a controller are heartbeats, and Node's HTTP
+ * server costs several times as much as the handling of a heartbeat (measurements in docs/design.md). A connection is
+ * therefore parsed here as long as it carries plain heartbeats; at its first request of any other kind it is passed to
+ * the HTTP server, together with the bytes that are not handled yet.
  */
 import type { Server as HttpServer } from "node:http";
 import type { Socket } from "node:net";
 import type { Logger } from "../runtime/log.js";
-import { readHeartbeatRequest } from "./heartbeat-request.js";
+import { parseHeartbeatRequest } from "./heartbeat-request.js";
 import { responseText, type HttpResponse } from "./responses.js";
 
-/** What the endpoint is made from. */
+/** The handler, logger and idle timeout of the endpoint. */
 export interface HeartbeatEndpointOptions {
-  /** Answers the body of a heartbeat. */
-  readonly answer: (body: string) => Promise<HttpResponse>;
+  /** Handles the body of a heartbeat and resolves to the response. */
+  readonly respond: (body: string) => Promise<HttpResponse>;
   readonly log: Logger;
-  /** A connection on which nothing was received for this long is closed, in milliseconds. */
-  readonly idleMs: number;
+  /** The interval at which connections without inbound data since the last check are closed, in milliseconds. */
+  readonly idleTimeoutMs: number;
 }
 
-/** What a connection does when it leaves the endpoint. */
+/** Callbacks for a connection that leaves the endpoint. */
 interface ConnectionCallbacks {
   /** Passes the connection to the HTTP server. */
-  passToServer(socket: Socket): void;
-  /** The connection is closed or passed on. */
-  onEnd(connection: HeartbeatConnection): void;
+  passToHttpServer(socket: Socket): void;
+  /** Called once the connection is closed or passed to the HTTP server. */
+  onReleased(connection: HeartbeatConnection): void;
 }
 
-/** One connection that has carried only heartbeats so far. */
+/** A connection on which only heartbeats have been received so far. */
 class HeartbeatConnection {
   private pending: Buffer | null = null;
-  private answering = false;
-  /** Whether anything was received since the last check for idle connections. */
-  private active = true;
+  private isResponding = false;
+  /** Whether any data was received since the last idle check. */
+  private hasReceivedData = true;
 
   constructor(
     private readonly socket: Socket,
@@ -48,78 +49,78 @@
     this.socket.destroy();
   }
 
-  /** Closes the connection if nothing was received since this was last called. */
+  /** Closes the connection if no data was received since the last call. */
   closeIfIdle(): void {
-    if (!this.active) this.close();
-    this.active = false;
+    if (!this.hasReceivedData) this.close();
+    this.hasReceivedData = false;
   }
 
   private readonly onClose = (): void => {
-    this.callbacks.onEnd(this);
+    this.callbacks.onReleased(this);
   };
 
   private readonly onError = (err: Error): void => {
-    this.options.log.debug({ err }, "worker connection failed");
+    this.options.log.debug({ err }, "heartbeat connection failed");
   };
 
   private readonly onData = (chunk: Buffer): void => {
-    this.active = true;
+    this.hasReceivedData = true;
     this.pending = this.pending === null ? chunk : Buffer.concat([this.pending, chunk]);
-    // Requests are never pipelined. Guards against a sender that does so all the same: what is received while a request is
-    // answered waits for the response, and all but one chunk waits outside this process.
-    if (this.answering) this.socket.pause();
+    // Workers do not pipeline requests. If a client does, reading pauses while a request is being handled, so that all
+    // but one chunk of the pipelined data stays outside this process.
+    if (this.isResponding) this.socket.pause();
     else this.serve();
   };
 
   private serve(): void {
     if (this.pending === null) return;
-    const request = readHeartbeatRequest(this.pending);
+    const request = parseHeartbeatRequest(this.pending);
     if (request.kind === "incomplete") return;
     if (request.kind === "other") {
-      this.passToServer(this.pending);
+      this.passToHttpServer(this.pending);
       return;
     }
-    const rest = this.pending.subarray(request.end);
-    this.pending = rest.byteLength === 0 ? null : rest;
-    this.answering = true;
-    this.options.answer(request.body).then(
+    const remaining = this.pending.subarray(request.end);
+    this.pending = remaining.byteLength === 0 ? null : remaining;
+    this.isResponding = true;
+    this.options.respond(request.body).then(
       (response) => {
         this.socket.write(responseText(response));
-        this.answering = false;
+        this.isResponding = false;
         this.socket.resume();
         this.serve();
       },
       (err: unknown) => {
-        this.options.log.error({ err }, "heartbeat handling failed");
+        this.options.log.error({ err }, "heartbeat handler failed; closing the connection");
         this.socket.destroy();
       },
     );
   }
 
-  /** From here on the connection is the HTTP server's, with the bytes that were read of it. */
-  private passToServer(unread: Buffer): void {
+  /** Detaches the connection and passes it to the HTTP server, with the bytes that were read but not handled. */
+  private passToHttpServer(unread: Buffer): void {
     const { socket } = this;
     socket.off("data", this.onData);
     socket.off("error", this.onError);
     socket.off("close", this.onClose);
     this.onClose();
     socket.unshift(unread);
-    this.callbacks.passToServer(socket);
+    this.callbacks.passToHttpServer(socket);
   }
 }
 
 /**
- * Has all new connections of a server read for heartbeats first, and closes those that are idle. The function that is
- * returned closes all connections that have not been passed to the server.
+ * Intercepts all new connections of an HTTP server to handle heartbeats, and closes idle ones. Returns a function that
+ * closes all connections that have not been passed to the server.
  */
 export function serveHeartbeats(server: HttpServer, options: HeartbeatEndpointOptions): () => void {
   const connections = new Set<HeartbeatConnection>();
   const serverListeners = server.listeners("connection") as ((socket: Socket) => void)[];
   const callbacks: ConnectionCallbacks = {
-    passToServer: (socket) => {
+    passToHttpServer: (socket) => {
       for (const listener of serverListeners) listener.call(server, socket);
     },
-    onEnd: (connection) => {
+    onReleased: (connection) => {
       connections.delete(connection);
     },
   };
@@ -129,7 +130,7 @@
   });
   const idleCheck = setInterval(() => {
     for (const connection of connections) connection.closeIfIdle();
-  }, options.idleMs);
+  }, options.idleTimeoutMs);
   return () => {
     clearInterval(idleCheck);
     for (const connection of connections) connection.close();
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -1,4 +1,4 @@
-/** Carries out, through the program's own code, every kind of write to the state service, and keeps the transactions. */
+/** Runs the program's own code for every kind of write to the state service and records the transactions. */
 import { mock } from "node:test";
 import { Autoscaler } from "../../src/autoscaling/autoscaler.js";
 import { CloudClient } from "../../src/cloud/cloud-client.js";
@@ -25,7 +25,7 @@
 import { newShard } from "./shard.js";
 import { FakeStateStore } from "./state-service.js";
 
-/** A transaction as it is sent. */
+/** A transaction as sent to the state service. */
 export interface StoredTransaction {
   guards: { path: string; stamp: number }[];
   apply: { put?: string; value?: unknown; hold?: number; remove?: string }[];
@@ -34,13 +34,13 @@
 export const NOW = 1_700_000_000_000;
 const SHARDS = 2;
 
-/** Lets all that is under way come to its end. */
-async function settle(): Promise<void> {
-  for (let turns = 0; turns < 20; turns++) await new Promise((resolve) => setImmediate(resolve));
+/** Waits until pending promises and callbacks have run. */
+async function settlePendingWork(): Promise<void> {
+  for (let turn = 0; turn < 20; turn++) await new Promise((resolve) => setImmediate(resolve));
 }
 
-/** The state service in this process, its real client, and a copy of the records. */
-class RecordingState {
+/** An in-process state service with the real client and a replica of the records; keeps the committed transactions. */
+class RecordingStateStore {
   readonly transactions: StoredTransaction[] = [];
   readonly view = new FakeView();
   readonly client: StateStoreClient;
@@ -50,9 +50,9 @@
     const http: JsonClient = {
       call: async (method, path, body) => {
         const sent: unknown = body === undefined ? undefined : JSON.parse(JSON.stringify(body));
-        const answer = await this.store.handle(0, method, new URL(path, "http://state"), sent);
-        if (path === "/multi" && answer.status === 200) this.transactions.push(sent as StoredTransaction);
-        return { status: answer.status, body: answer.body };
+        const response = await this.store.handle(0, method, new URL(path, "http://state"), sent);
+        if (path === "/multi" && response.status === 200) this.transactions.push(sent as StoredTransaction);
+        return { status: response.status, body: response.body };
       },
     };
     this.client = new StateStoreClient({
@@ -69,21 +69,23 @@
     };
   }
 
-  /** Puts records that are not what is looked at. */
-  async prepare(...writes: Write[]): Promise<void> {
+  /** Writes the records that a scenario depends on; these transactions are not kept. */
+  async seedRecords(...writes: Write[]): Promise<void> {
     await this.client.compareAndSwap([], writes, "background");
     this.transactions.length = 0;
   }
 }
 
-/** Runs a scenario with time of day and generated names fixed, and returns the transactions it committed. */
-async function recorded(work: (state: RecordingState) => Promise<void>): Promise<StoredTransaction[]> {
-  const state = new RecordingState();
-  let names = 0;
+/** Runs a scenario with a fixed wall clock and fixed generated names; returns the transactions that it committed. */
+async function recordTransactions(
+  runScenario: (state: RecordingStateStore) => Promise<void>,
+): Promise<StoredTransaction[]> {
+  const state = new RecordingStateStore();
+  let generatedNames = 0;
   mock.timers.enable({ apis: ["Date"], now: NOW });
-  mock.method(crypto, "randomUUID", () => `00000000-0000-4000-8000-00000000000${++names}`);
+  mock.method(crypto, "randomUUID", () => `00000000-0000-4000-8000-00000000000${++generatedNames}`);
   try {
-    await work(state);
+    await runScenario(state);
   } finally {
     state.store.close();
     mock.timers.reset();
@@ -92,8 +94,8 @@
   return state.transactions;
 }
 
-/** A controller enters, leads, assigns shards, advances a token, hands the shard over and resigns. */
-async function membershipRecords(state: RecordingState): Promise<void> {
+/** A controller joins, becomes leader, assigns shards, advances a fencing token, hands a shard over and resigns. */
+async function membershipRecords(state: RecordingStateStore): Promise<void> {
   const { conditions, writes } = joinTransaction(
     { node: "node-b", incarnation: "b.1" },
     await state.client.grantLease(60_000),
@@ -122,11 +124,11 @@
   ] as const;
   for (const message of messages) {
     membership.tell(message);
-    await settle();
+    await settlePendingWork();
   }
 }
 
-/** A submission with everything optional in it. */
+/** A submission with all optional fields. */
 export const FULL_SUBMISSION = {
   lane: "nightly",
   crew: "capped",
@@ -145,22 +147,22 @@
   dueS: 3600,
 };
 
-export function specOf(id: string, over: Record<string, unknown> = {}): JobSpec {
-  const parsed = parseSubmission(submission(id, over));
+export function parseJobSpec(id: string, overrides: Record<string, unknown> = {}): JobSpec {
+  const parsed = parseSubmission(submission(id, overrides));
   if (!parsed.ok) throw new Error(parsed.error);
   return parsed.value;
 }
 
 const types = new Map([[smallType.name, smallType]]);
 
-function jobService({ client, view }: RecordingState): JobService {
+function jobService({ client, view }: RecordingStateStore): JobService {
   const settings = testSettings({ controllers: SHARDS });
-  const neverWaits = { waitForRevision: () => Promise.resolve() };
+  const alreadyUpToDate = { waitForRevision: () => Promise.resolve() };
   return new JobService({
     settings,
     state: client,
     replica: view,
-    readBarrier: new ReadBarrier(client, neverWaits, 1000),
+    readBarrier: new ReadBarrier(client, alreadyUpToDate, 1000),
     machineTypes: () => types,
     shardAssignment: new ShardAssignment(settings.teams, SHARDS),
     taskCounts: () => Promise.resolve(null),
@@ -170,31 +172,31 @@
   });
 }
 
-/** Two jobs are accepted, one with everything optional set, and one of them is cancelled. */
-async function jobRecords(state: RecordingState): Promise<void> {
+/** Two jobs are accepted, one of them with all optional fields; the other is cancelled. */
+async function jobRecords(state: RecordingStateStore): Promise<void> {
   const service = jobService(state);
-  await service.submit(specOf("req-1", FULL_SUBMISSION));
-  await service.submit(specOf("req-2"));
+  await service.submit(parseJobSpec("req-1", FULL_SUBMISSION));
+  await service.submit(parseJobSpec("req-2"));
   await service.cancel("req-2");
 }
 
-/** A job of a team with a limit passes to a shard of another team. */
-async function transferRecords(state: RecordingState): Promise<void> {
+/** A job of a team with a quota migrates to a shard of another team. */
+async function migrationRecords(state: RecordingStateStore): Promise<void> {
   const owner = { node: "node-a", incarnation: "a.1" };
-  await state.prepare({ put: keys.shard(0), value: owner }, { put: keys.shard(1), value: owner });
-  await jobService(state).submit(specOf("req-1", { crew: "capped", bank: "south" }));
+  await state.seedRecords({ put: keys.shard(0), value: owner }, { put: keys.shard(1), value: owner });
+  await jobService(state).submit(parseJobSpec("req-1", { crew: "capped", bank: "south" }));
   state.transactions.length = 0;
   mock.timers.tick(60_000);
   const token = state.view.get(keys.shard(1))!.version;
   const shard = newShard({ shard: 1, termToken: token, view: state.view });
   const term = { currentToken: () => token, hasEnded: () => false };
-  const parts = { shard, term, state: state.client, view: state.view };
-  const migrator = new JobMigrator({ ...parts, clock: () => 0, retryMs: 1000, log: silentLogger });
+  const dependencies = { shard, term, state: state.client, view: state.view };
+  const migrator = new JobMigrator({ ...dependencies, clock: () => 0, retryMs: 1000, log: silentLogger });
   await migrator.migrate("req-1", 0);
 }
 
-/** Tasks of a small and of a large job complete, and then all of the small one. */
-async function completionRecords(state: RecordingState): Promise<void> {
+/** Some tasks of a small and of a large job complete, then the remaining tasks of the small one. */
+async function completionRecords(state: RecordingStateStore): Promise<void> {
   const log = new CompletionLog(1, 8192, silentLogger, () => undefined);
   const small = new Job(jobSpec("req-1", { tasks: 3 }), NOW, 0);
   const large = new Job(jobSpec("req-2", { tasks: CHUNK_TASKS + 16 }), NOW, 0);
@@ -217,7 +219,7 @@
   await write(log.finishedJobs(8, () => true));
 }
 
-const summary = (shard: number): ShardSummary => ({
+const demandSummary = (shard: number): ShardSummary => ({
   shard,
   token: 1,
   recovered: true,
@@ -256,20 +258,20 @@
   ],
 };
 
-const unknownMachine = (tick: number) => {
-  const said = { host: "i-9", addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
-  const report = parseHeartbeat({ ...said, tenure: 1, tick, baton: 0, pieces: [] });
-  if (!report.ok) throw new Error(report.error);
-  return { kind: "unknown_machine", heartbeat: report.value } as const;
+const unknownMachineMessage = (tick: number) => {
+  const identity = { host: "i-9", addr: "10.0.0.9:9000", breed: "small", bank: "north", loaners: true };
+  const parsed = parseHeartbeat({ ...identity, tenure: 1, tick, baton: 0, pieces: [] });
+  if (!parsed.ok) throw new Error(parsed.error);
+  return { kind: "unknown_machine", heartbeat: parsed.value } as const;
 };
 
-/** An autoscaler that leads, and steps of a second in which it makes a pass. */
-async function autoscaling(state: RecordingState, rent: (body: unknown) => void) {
+/** Starts an autoscaler on the leader; each call of the returned `runPass` advances the clock and runs one pass. */
+async function startAutoscaler(state: RecordingStateStore, onRent: (body: unknown) => void) {
   let now = 0;
   const cloud: JsonClient = {
     call: (method, path, body) => {
       if (path === "/flavors") return Promise.resolve({ status: 200, body: CATALOGUE });
-      if (method === "POST") rent(body);
+      if (method === "POST") onRent(body);
       const hosts = method === "POST" ? ["i-1", "i-2", "i-3"] : [];
       return Promise.resolve({ status: 200, body: { hosts, truncated: false } });
     },
@@ -295,49 +297,49 @@
     callbacks,
     log: silentLogger,
   });
-  const pass = async (): Promise<void> => {
+  const runPass = async (): Promise<void> => {
     now += operator.passSpacingMs;
     autoscaler.tell({ kind: "tick" });
-    await settle();
+    await settlePendingWork();
     fleet.applyChanges(state.view, null);
   };
-  await pass();
-  return { autoscaler, fleet, pass };
+  await runPass();
+  return { autoscaler, fleet, runPass };
 }
 
-const LEADER: Write = { put: keys.leader, value: { node: "node-a", incarnation: "a.1" } };
+const LEADER_RECORD: Write = { put: keys.leader, value: { node: "node-a", incarnation: "a.1" } };
 
-/** Types are recorded, machines ordered for two shards, and one registered that no order brought. */
-async function autoscalingRecords(state: RecordingState): Promise<void> {
-  await state.prepare(LEADER);
-  const { autoscaler, pass } = await autoscaling(state, () => undefined);
+/** Machine types are recorded, machines are ordered for two shards, and a machine without an order is registered. */
+async function autoscalingRecords(state: RecordingStateStore): Promise<void> {
+  await state.seedRecords(LEADER_RECORD);
+  const { autoscaler, runPass } = await startAutoscaler(state, () => undefined);
   for (const shard of [0, 1])
-    autoscaler.tell({ kind: "summary", summary: summary(shard), reply: () => undefined });
-  await pass();
-  autoscaler.tell(unknownMachine(1));
-  await settle();
-  await pass();
-  autoscaler.tell(unknownMachine(2));
-  await settle();
-  await pass();
+    autoscaler.tell({ kind: "summary", summary: demandSummary(shard), reply: () => undefined });
+  await runPass();
+  autoscaler.tell(unknownMachineMessage(1));
+  await settlePendingWork();
+  await runPass();
+  autoscaler.tell(unknownMachineMessage(2));
+  await settlePendingWork();
+  await runPass();
 }
 
-/** What is sent to the cloud for an order that another leader has recorded. */
+/** Returns the rental requests that are sent to the cloud for an order recorded by an earlier leader. */
 export async function rentalForRecordedOrder(key: string, value: unknown): Promise<unknown[]> {
   const sent: unknown[] = [];
-  await recorded(async (state) => {
-    await state.prepare(LEADER, { put: key, value });
-    const { pass } = await autoscaling(state, (body) => sent.push(body));
-    await pass();
+  await recordTransactions(async (state) => {
+    await state.seedRecords(LEADER_RECORD, { put: key, value });
+    const { runPass } = await startAutoscaler(state, (body) => sent.push(body));
+    await runPass();
   });
   return sent;
 }
 
-/** Machines of one group come up, one is selected for removal, one goes to another shard and one is returned. */
-async function machineRecords(state: RecordingState): Promise<void> {
+/** Machines of a group come up; one is selected for removal, one changes shard, and two are returned. */
+async function machineRecords(state: RecordingStateStore): Promise<void> {
   const group = { shard: 0, type: "small", zone: "north", spot: true, since: NOW };
   const machines = { "i-1": "booting", "i-2": "booting", "i-3": "booting" };
-  await state.prepare({ put: keys.machineGroup("group-1"), value: { ...group, machines } });
+  await state.seedRecords({ put: keys.machineGroup("group-1"), value: { ...group, machines } });
   const fleet = new Fleet(silentLogger);
   const steps = [
     () => fleet.changeStage(["i-1", "i-2"], "up", 8),
@@ -353,9 +355,9 @@
   }
 }
 
-/** An owner that does not reach the leader leaves what its shard is short of in the records. */
-async function demandRecords(state: RecordingState): Promise<void> {
-  await state.prepare({ put: keys.shard(1), value: { node: "node-a", incarnation: "a.1" } });
+/** A shard owner that cannot reach the leader writes its shard's unmet demand to the records. */
+async function demandRecords(state: RecordingStateStore): Promise<void> {
+  await state.seedRecords({ put: keys.shard(1), value: { node: "node-a", incarnation: "a.1" } });
   const exchange = new SummaryExchange({
     assignment: new ShardAssignment(testSettings().teams, SHARDS),
     state: state.client,
@@ -367,14 +369,14 @@
     valueBytes: 8192,
     queueTimeoutMs: 1000,
   });
-  exchange.send(summary(1));
-  await settle();
+  exchange.send(demandSummary(1));
+  await settlePendingWork();
 }
 
-const SCENARIOS: Record<string, (state: RecordingState) => Promise<void>> = {
+const SCENARIOS: Record<string, (state: RecordingStateStore) => Promise<void>> = {
   membership: membershipRecords,
   jobs: jobRecords,
-  transfer: transferRecords,
+  transfer: migrationRecords,
   completion: completionRecords,
   autoscaling: autoscalingRecords,
   machines: machineRecords,
@@ -383,6 +385,6 @@
 
 export const SCENARIO_NAMES = Object.keys(SCENARIOS);
 
-/** The transactions that a scenario commits. */
-export const transactionsOf = (scenario: string): Promise<StoredTransaction[]> =>
-  recorded(SCENARIOS[scenario]!);
+/** Runs the scenario of the given name and returns the transactions that it commits. */
+export const runScenarioByName = (scenario: string): Promise<StoredTransaction[]> =>
+  recordTransactions(SCENARIOS[scenario]!);
