--- a/src/autoscaling/autoscaler-dependencies.ts
+++ b/src/autoscaling/autoscaler-dependencies.ts
@@ -1,4 +1,4 @@
-/** What the autoscaler and its parts are made from. */
+/** The dependencies of the autoscaler and its components. */
 import type { CloudClient } from "../cloud/cloud-client.js";
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
@@ -9,17 +9,17 @@
 import type { StateStoreClient } from "../state/state-store-client.js";
 import type { Fleet } from "../workers/fleet.js";
 
-/** What the autoscaler needs of the rest of the process. */
+/** Callbacks through which the autoscaler uses the rest of the process. */
 export interface AutoscalerCallbacks {
-  /** The version of the record that makes this process the leader, or null. */
+  /** The version of the leader record while this process leads; null otherwise. */
   leaderVersion(): number | null;
-  /** Sends a request to the owner of a shard, this process included. */
+  /** Sends a request to the owner of a shard, which may be this process. */
   requestOwner(shard: number, request: PeerRequest): Promise<PeerReply>;
-  /** Whether rentals and returns may be recorded and sent now, as far as links go. */
+  /** Whether the link policy currently permits recording and sending rentals and returns. */
   canCallCloud(): boolean;
 }
 
-/** What an autoscaler is made from. */
+/** Constructor dependencies of the autoscaler. */
 export interface AutoscalerDependencies {
   readonly settings: Settings;
   readonly operator: OperatorSettings;
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** The actor that scales while this process leads: it collects the owners' summaries and starts passes. */
+/** The autoscaling actor: collects shard summaries from the owners and starts reconciliation passes on the leader. */
 import { CloudError } from "../cloud/cloud-error.js";
 import type { ShardSummary } from "../peers/peer-messages.js";
 import { Actor } from "../runtime/actor.js";
@@ -7,14 +7,14 @@
 import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
 import { Reconciler } from "./reconciler.js";
 
-/** What the autoscaler is told. */
+/** Messages that the autoscaler receives; `unknown_machine` is a heartbeat from a machine that has no record. */
 export type AutoscalerMessage =
   | { kind: "summary"; summary: ShardSummary; reply: (accepted: boolean) => void }
   | { kind: "unknown_machine"; heartbeat: Heartbeat }
   | { kind: "tick" }
   | { kind: "pass_done" };
 
-/** Starts reconciliation passes while this process leads; does nothing while it does not. */
+/** Starts reconciliation passes at the configured spacing, one at a time, while this process is the leader. */
 export class Autoscaler extends Actor<AutoscalerMessage> {
   private readonly reconciler: Reconciler;
   private isLeading = false;
--- a/src/autoscaling/demand-record.ts
+++ b/src/autoscaling/demand-record.ts
@@ -1,9 +1,9 @@
 /**
- * The record in which an owner leaves its summary while it cannot reach the leader: a refused connection between two
- * controllers must not keep a shard from getting machines.
+ * The record in which an owner stores its summary while it cannot reach the leader, so that a broken connection between
+ * two controllers does not prevent a shard from getting machines.
  *
  * Stored form: `{ token, recovered, demand }`, with `demand` as a list of `{ cpus, gpus, memoryGb, types, zone, spot,
- * count, priority }`. It stays as it is, since other versions of the program read and write it too.
+ * count, priority }`. The format is fixed because other versions of the program read and write it.
  */
 import * as z from "zod";
 import type { Demand, MachineSummary, ShardSummary } from "../peers/peer-messages.js";
@@ -13,9 +13,9 @@
   cpus: z.number(),
   gpus: z.number(),
   memoryGb: z.number(),
-  /** Empty: any. */
+  /** Allowed machine types; empty means any. */
   types: z.array(z.string()),
-  /** Empty: any. */
+  /** Required zone; empty means any. */
   zone: z.string(),
   spot: z.boolean(),
   count: z.number(),
@@ -23,25 +23,25 @@
 }) satisfies z.ZodType<Demand>;
 
 const recordSchema = z.object({
-  /** The fencing token of the owner that wrote it: the summary of an earlier owner proves nothing. */
+  /** The fencing token of the owner that wrote the record: a summary of an earlier owner is ignored. */
   token: z.number(),
   recovered: z.boolean(),
   demand: z.array(demandSchema),
 });
 
-/** The part of a summary that is worth leaving in the records. */
+/** The part of a summary that is stored. */
 export type DemandRecord = z.infer<typeof recordSchema>;
 
-/** What a record takes besides its demand, with the longest token. */
+/** Upper bound for the encoded size of a record without its demand, with the longest possible token. */
 const FIXED_FIELDS_BYTES = 128;
 
-/** What stands between two elements of a list. */
+/** Size of the comma between two list elements. */
 const SEPARATOR_BYTES = 1;
 
 /**
- * The record of a summary, in at most `maxBytes` bytes. Nothing in it grows with the number of machines: which of them
- * have sent no heartbeat yet is in their own records. Demand past the limit is left out, the least urgent first: it is
- * recorded once the rest has machines.
+ * Converts a summary to its record, limited to `maxBytes` bytes. The size does not depend on the number of machines:
+ * whether a machine has sent a heartbeat is stored in its own record. Demand that exceeds the limit is omitted, the
+ * least urgent first, and is recorded once the other demand has machines.
  */
 export function toDemandRecord({ token, recovered, demand }: ShardSummary, maxBytes: number): DemandRecord {
   const included: Demand[] = [];
@@ -55,8 +55,8 @@
 }
 
 /**
- * The summary of a shard out of its record; null where the record cannot be read. Machines that their own records show
- * as booting count as such, and all others as busy, so that none is selected for removal by it.
+ * Builds the summary of a shard from its demand record and its machines' records; null if the demand record is invalid.
+ * Machines that have sent no heartbeat are reported as booting and all others as busy, so that none counts as idle.
  */
 export function fromDemandRecord(
   shard: number,
--- a/src/autoscaling/machine-group-writes.ts
+++ b/src/autoscaling/machine-group-writes.ts
@@ -1,12 +1,12 @@
-/** Writes that add machines to the records. */
+/** Builds the state store writes that record new machines. */
 import { keys } from "../state/keys.js";
 import type { Write } from "../wire/index.js";
 import { maxMachinesPerGroup, type MachineGroup } from "../workers/machine-records.js";
 
-/** The shard and the pool that machines of one group have in common. */
+/** The shard and instance pool shared by all machines of a group. */
 export type MachineGroupAttributes = Omit<MachineGroup, "since" | "machines">;
 
-/** Records for machines that come together, in as many groups as the limit of a value in bytes asks for. */
+/** Writes that record machines as booting, split into groups that each fit into a value of `valueBytes` bytes. */
 export function machineGroupWrites(
   hosts: string[],
   attributes: MachineGroupAttributes,
--- a/src/autoscaling/machine-list-reader.ts
+++ b/src/autoscaling/machine-list-reader.ts
@@ -1,4 +1,4 @@
-/** Reads the cloud's list of machines, and compares it with the records. */
+/** Reads the cloud's list of machines and compares it with the machine records. */
 import type { ListedMachine } from "../wire/index.js";
 import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
 import { MachineListing } from "./machine-listing.js";
@@ -6,28 +6,28 @@
 import type { MachineSelection } from "./removal-selection.js";
 import type { ReturnedMachines } from "./returned-machines.js";
 
-/** The least time between the beginnings of two lists, as multiples of the list lag and of the pass spacing. */
+/** Minimum time between the starts of two listings: the larger of these multiples of list lag and pass spacing. */
 const MIN_LIST_SPACING_LAGS = 2;
 const MIN_LIST_SPACING_PASSES = 10;
 
-/** After so many list lags no list shows a machine any more that was returned. */
+/** Returned machines are remembered for this many list lags; after that, no list shows them any more. */
 const RETURNED_RETENTION_LAGS = 6;
 
-/** A machine younger than so many list lags may be one of a rental whose machines are being recorded. */
+/** Minimum age of an unregistered machine, in list lags: the rental of a younger one may still be being recorded. */
 const MIN_UNREGISTERED_AGE_LAGS = 2;
 
-/** What the reader is made from. */
+/** Dependencies of the machine list reader. */
 export interface MachineListReaderDependencies extends Pick<
   AutoscalerDependencies,
   "settings" | "operator" | "cloud" | "fleet"
 > {
   readonly registration: MachineRegistration;
   readonly returnedMachines: ReturnedMachines;
-  /** Requests the owner of a shard to drain machines. */
+  /** Asks the owner of a shard to drain machines. */
   readonly drainMachines: (selection: MachineSelection) => Promise<void>;
 }
 
-/** Finds machines that are in no record, and machines that are gone. */
+/** Finds listed machines that have no record, and recorded machines that are no longer listed. */
 export class MachineListReader {
   private listing: MachineListing;
   private termStartedAt: number | null = null;
@@ -37,21 +37,22 @@
     this.listing = new MachineListing(this.listLagMs);
   }
 
-  /** Starts a term as leader: what lists showed in an earlier one proves nothing. */
+  /** Starts a term as leader, and discards listings of earlier terms because they are outdated. */
   beginTerm(now: number): void {
     this.termStartedAt = now;
     this.listing = new MachineListing(this.listLagMs);
   }
 
-  /** Ends the term as leader. */
+  /** Ends the term as leader; unregistered machines are not added until the next term. */
   endTerm(): void {
     this.termStartedAt = null;
   }
 
   /**
-   * Reads one page: of a list that is in progress, or of a new one now and then.
+   * Reads the next page of the listing in progress, or starts a new listing if the minimum spacing has passed. Does
+   * nothing if the rate limit permits no call. Compares the list with the records when the last page has been read.
    *
-   * @throws {CloudError} where the cloud does not answer
+   * @throws {CloudError} if the cloud returns no usable response
    */
   async readPage(now: number): Promise<void> {
     const { cloud } = this.dependencies;
@@ -66,7 +67,7 @@
     this.drainMissing(machines, now);
   }
 
-  /** How old the cloud's list may be. */
+  /** The maximum age of the cloud's list, in milliseconds. */
   private get listLagMs(): number {
     return this.dependencies.settings.cloud.listLagMs;
   }
@@ -80,7 +81,7 @@
     const { fleet, registration, returnedMachines } = this.dependencies;
     const retentionMs = RETURNED_RETENTION_LAGS * this.listLagMs;
     returnedMachines.expire(retentionMs, now);
-    // A new leader does not know what its predecessor returned; lists show such machines for a while.
+    // A new leader does not know which machines its predecessor returned, and lists may still include them.
     if (this.termStartedAt === null || now - this.termStartedAt < retentionMs) return;
     for (const { host, type, zone, spot, ageS } of machines) {
       if (fleet.get(host) !== undefined || returnedMachines.has(host)) continue;
@@ -89,7 +90,7 @@
     }
   }
 
-  /** Machines that the lists do not show any more are gone: their owners drain them like those with expired leases. */
+  /** Asks the owners to drain machines that are no longer listed, like those with expired leases. */
   private drainMissing(machines: ListedMachine[], now: number): void {
     const { fleet, drainMachines } = this.dependencies;
     const isRecorded = (host: string): boolean => fleet.get(host) !== undefined;
--- a/src/autoscaling/machine-registration.ts
+++ b/src/autoscaling/machine-registration.ts
@@ -1,4 +1,4 @@
-/** Registration of machines that no record names: of a late rental, or there from the start. */
+/** Registers machines that have no record: from a rental whose response came late, or running since before startup. */
 import { poolKey, type InstancePool } from "../cloud/instance-pool.js";
 import { keys } from "../state/keys.js";
 import type { Condition, Heartbeat, Write } from "../wire/index.js";
@@ -7,7 +7,7 @@
 import type { ReturnedMachines } from "./returned-machines.js";
 import type { UnregisteredMachines } from "./unregistered-machines.js";
 
-/** What registration is made from. */
+/** Dependencies of machine registration. */
 export interface MachineRegistrationDependencies extends Pick<
   AutoscalerDependencies,
   "settings" | "state" | "view" | "fleet" | "clock" | "log"
@@ -16,19 +16,19 @@
   readonly returnedMachines: ReturnedMachines;
 }
 
-/** Machines of one shard and one pool. */
+/** New machines of one pool, assigned to one shard. */
 interface NewGroup {
   attributes: MachineGroupAttributes;
   hosts: string[];
 }
 
-/** Collects machines that are in no record, and records them. */
+/** Collects machines that have no record, assigns them to shards and records them. */
 export class MachineRegistration {
   private readonly poolsByHost = new Map<string, InstancePool>();
 
   constructor(private readonly dependencies: MachineRegistrationDependencies) {}
 
-  /** Handles the heartbeat of a machine that is in no record. */
+  /** Handles the heartbeat of a machine that has no record, and adds the machine once its existence is confirmed. */
   receiveHeartbeat(heartbeat: Heartbeat): void {
     const { unregisteredMachines, returnedMachines, clock } = this.dependencies;
     const { host, type, zone, spot } = heartbeat;
@@ -36,22 +36,23 @@
     this.add(host, { type, zone, spot });
   }
 
-  /** Adds a machine that the next pass is to record. */
+  /** Adds a machine to those that the next pass records. */
   add(host: string, pool: InstancePool): void {
     this.poolsByHost.set(host, pool);
   }
 
   /**
-   * Records the machines that were added since the last pass.
+   * Records the machines added since the last pass, up to the transaction limit; the others are dropped and added again
+   * by later heartbeats or lists.
    *
-   * @throws {StateStoreError} where the state store does not answer
+   * @throws {StateStoreError} if the state store returns no usable response
    */
   async register(leaderCondition: Condition): Promise<void> {
     const { settings, state, log } = this.dependencies;
     const groups = this.assignToShards();
     this.poolsByHost.clear();
-    const writes = groups.flatMap(({ attributes: origin, hosts }) =>
-      machineGroupWrites(hosts, origin, settings.state.valueBytes),
+    const writes = groups.flatMap(({ attributes, hosts }) =>
+      machineGroupWrites(hosts, attributes, settings.state.valueBytes),
     );
     if (writes.length === 0) return;
     log.info({ hosts: groups.flatMap(({ hosts }) => hosts) }, "machines registered");
@@ -61,13 +62,13 @@
     await state.compareAndSwap(conditions, [registration, ...writes.slice(0, maxGroups)], "ownership");
   }
 
-  /** Machines in no record cannot be guarded by their own; this key lets a late copy of the write fail. */
+  /** New machines have no record whose version could be checked; the version of this key makes a delayed copy fail. */
   private registrationCondition(): Condition {
     const key = keys.machineRegistration;
     return { key, version: this.dependencies.view.get(key)?.version ?? 0 };
   }
 
-  /** Gives each machine to the shard that has the fewest. */
+  /** Assigns each machine to the shard with the fewest machines, and groups the machines by shard and pool. */
   private assignToShards(): NewGroup[] {
     const { fleet, returnedMachines } = this.dependencies;
     const machineCounts = this.countMachinesByShard();
--- a/src/autoscaling/machine-returns.ts
+++ b/src/autoscaling/machine-returns.ts
@@ -4,7 +4,7 @@
 import type { ReturnedMachines } from "./returned-machines.js";
 import type { UnregisteredMachines } from "./unregistered-machines.js";
 
-/** What returns are made from. */
+/** Dependencies of machine returns. */
 export interface MachineReturnsDependencies extends Pick<
   AutoscalerDependencies,
   "cloud" | "state" | "fleet" | "clock" | "log"
@@ -13,27 +13,27 @@
   readonly returnedMachines: ReturnedMachines;
 }
 
-/** Returns machines that their owners have marked as draining. */
+/** Returns machines whose records mark them as draining, and removes the records. */
 export class MachineReturns {
   constructor(private readonly dependencies: MachineReturnsDependencies) {}
 
   /**
-   * Returns drained machines; their records are removed once the cloud has confirmed that the machines are gone.
+   * Returns drained machines, and removes their records once the cloud has confirmed that the machines are gone.
    *
    * @returns whether the cloud was called
-   * @throws {CloudError} where the cloud does not answer
-   * @throws {StateStoreError} where the state store does not answer
+   * @throws {CloudError} if the cloud returns no usable response
+   * @throws {StateStoreError} if the state store returns no usable response
    */
   async returnDrained(leaderCondition: Condition): Promise<boolean> {
     const { cloud, state, fleet, log } = this.dependencies;
-    // Only what one transaction takes out of the records: the rest would be returned again, pass after pass.
+    // Limited to what one transaction can remove from the records: any others would be returned again in every pass.
     const { hosts } = fleet.changeStage(this.drainedHosts(), null, state.txnOps);
     if (hosts.length === 0 || !cloud.tryAcquireCall()) return false;
     await cloud.returnMachines(hosts);
     this.recordReturn(hosts);
     log.info({ hosts }, "machines returned");
     const { conditions, writes } = fleet.changeStage(hosts, null, state.txnOps);
-    // What has changed meanwhile is returned once more, which harms nobody, and removed then.
+    // Machines whose records changed meanwhile are returned again by a later pass, which is harmless, and removed then.
     await state.compareAndSwap([leaderCondition, ...conditions], writes, "ownership");
     return true;
   }
--- a/src/autoscaling/machine-type-cache.ts
+++ b/src/autoscaling/machine-type-cache.ts
@@ -1,37 +1,37 @@
-/** The machine types that the cloud offers, read now and then and kept in the records for all controllers. */
+/** Caches the machine types that the cloud offers, and records them in the state store for all controllers. */
 import { keys, prefixes } from "../state/keys.js";
 import type { Condition, MachineType } from "../wire/index.js";
 import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
 
-/** Types and prices are read again after so many passes. */
+/** Types and prices are read again after this many passes. */
 const PASSES_BETWEEN_READS = 60;
 
 type MachineTypeCacheDependencies = Pick<AutoscalerDependencies, "cloud" | "operator" | "state" | "view">;
 
-/** The latest machine types that this process knows of. */
+/** The latest machine types and prices known to this process. */
 export class MachineTypeCache {
   private latest: MachineType[] | null = null;
   private lastReadAt = -Infinity;
 
   constructor(private readonly dependencies: MachineTypeCacheDependencies) {}
 
-  /** The types as the cloud last listed them to this process, or else as the records have them. */
+  /** The types that this process last read from the cloud; the recorded ones if it has read none. */
   types(): MachineType[] {
     return this.latest ?? this.recordedTypes();
   }
 
-  /** The usual boot time of a type as the records have it; null if they do not. */
+  /** The recorded typical boot time of a type, in milliseconds; null if the type is not recorded. */
   recordedBootMs(name: string): number | null {
     const type = this.recordedTypes().find((recorded) => recorded.name === name);
     return type === undefined ? null : type.bootS * 1000;
   }
 
   /**
-   * Reads types and prices if it is time to, and records them, so that no other controller need ask the cloud.
+   * Reads types and prices if they are due. Records changed types so that other controllers need not call the cloud.
    *
    * @returns whether the cloud was called
-   * @throws {CloudError} where the cloud does not answer
-   * @throws {StateStoreError} where the state store does not answer
+   * @throws {CloudError} if the cloud returns no usable response
+   * @throws {StateStoreError} if the state store returns no usable response
    */
   async refresh(leaderCondition: Condition, now: number): Promise<boolean> {
     const { cloud, operator } = this.dependencies;
@@ -44,7 +44,11 @@
     return true;
   }
 
-  /** Reads types and prices, if a call is allowed, for the sake of the call: it shows whether the cloud is back. */
+  /**
+   * Reads types and prices, if the rate limit permits a call, to detect whether the cloud is reachable again.
+   *
+   * @throws {CloudError} if the cloud returns no usable response
+   */
   async probeCloud(): Promise<void> {
     const { cloud } = this.dependencies;
     if (cloud.tryAcquireCall()) this.latest = await cloud.listMachineTypes();
@@ -63,7 +67,7 @@
   }
 }
 
-/** Spot prices change all the time; only what lasts is worth a write. */
+/** Ignores the spot price: it changes too often to justify a write each time. */
 function isEqualExceptSpotPrice(type: MachineType, other: MachineType): boolean {
   return JSON.stringify({ ...type, spotPrice: 0 }) === JSON.stringify({ ...other, spotPrice: 0 });
 }
--- a/src/autoscaling/pool-refusals.ts
+++ b/src/autoscaling/pool-refusals.ts
@@ -1,27 +1,27 @@
-/** Pools that have lately refused machines, with exponential back-off. */
+/** Tracks pools that recently rented out fewer machines than ordered, with exponential backoff. */
 import { poolKey, type InstancePool } from "../cloud/instance-pool.js";
 
-/** The back-off after the first refusal, and the longest, in usual boot times of the pool's machine type. */
+/** The initial and the maximum backoff, as multiples of the typical boot time of the pool's machine type. */
 const FIRST_BACKOFF_BOOT_FRACTION = 1 / 2;
 const MAX_BACKOFF_BOOT_FACTOR = 4;
 
 interface Refusal {
-  /** Steady time until which nothing is rented there. */
+  /** Monotonic time until which no machines are ordered from the pool. */
   retryAt: number;
   backoffMs: number;
 }
 
-/** Which pools are not to be asked for machines for a while. */
+/** Backoff state of the pools that refused machines. */
 export class PoolRefusals {
   private readonly refusals = new Map<string, Refusal>();
 
-  /** Whether the back-off of a pool is still running. */
+  /** Whether the backoff of a pool has not yet expired. */
   isInBackoff(pool: InstancePool, now: number): boolean {
     const refusal = this.refusals.get(poolKey(pool));
     return refusal !== undefined && refusal.retryAt > now;
   }
 
-  /** Records that a pool gave fewer machines than ordered: each time in a row doubles the back-off. */
+  /** Records that a pool provided fewer machines than ordered; each consecutive refusal doubles the backoff. */
   recordRefusal(pool: InstancePool, typicalBootMs: number, now: number): void {
     const key = poolKey(pool);
     const previous = this.refusals.get(key);
@@ -31,12 +31,12 @@
     this.refusals.set(key, { retryAt: now + backoffMs, backoffMs });
   }
 
-  /** Records that a pool gave all that was ordered. */
+  /** Records that a pool provided all machines ordered, which resets its backoff. */
   recordSuccess(pool: InstancePool): void {
     this.refusals.delete(poolKey(pool));
   }
 
-  /** Forgets all refusals. */
+  /** Resets the backoff of all pools. */
   clear(): void {
     this.refusals.clear();
   }
--- a/src/autoscaling/reconciler.ts
+++ b/src/autoscaling/reconciler.ts
@@ -1,4 +1,4 @@
-/** One reconciliation pass after the other: brings the rented machines closer to what the shards need. */
+/** Reconciles the rented machines with the demand of the shards. */
 import { keys } from "../state/keys.js";
 import type { Condition, MachineType } from "../wire/index.js";
 import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
@@ -15,11 +15,11 @@
 import { SummaryStore } from "./summary-store.js";
 import { UnregisteredMachines } from "./unregistered-machines.js";
 
-/** Carries out reconciliation passes, each with at most one call to the cloud. */
+/** Runs reconciliation passes, each with at most one call to the cloud. */
 export class Reconciler {
-  /** The owners' latest summaries. */
+  /** The latest summaries received from the owners. */
   readonly summaries: SummaryStore;
-  /** Machines that are in no record. */
+  /** Registers machines that have no record. */
   readonly registration: MachineRegistration;
   private readonly refusals = new PoolRefusals();
   private readonly returnedMachines = new ReturnedMachines();
@@ -48,7 +48,7 @@
     });
   }
 
-  /** Starts a term as leader: what was known in an earlier one may have changed. */
+  /** Starts a term as leader, and discards the state of earlier terms because it may be outdated. */
   beginTerm(now: number): void {
     this.listReader.beginTerm(now);
     this.summaries.clear();
@@ -62,11 +62,12 @@
   }
 
   /**
-   * Makes one pass.
+   * Runs one pass. Every write to the state store is conditional on the leader record being unchanged.
    *
-   * @param leaderVersion the version of the record that makes this process the leader
-   * @throws {CloudError} where the cloud does not answer
-   * @throws {StateStoreError} where the state store does not answer
+   * @param leaderVersion the version of the leader record that names this process
+   * @param now monotonic time, in milliseconds
+   * @throws {CloudError} if the cloud returns no usable response
+   * @throws {StateStoreError} if the state store returns no usable response
    */
   async reconcile(leaderVersion: number, now: number): Promise<void> {
     const leaderCondition: Condition = { key: keys.leader, version: leaderVersion };
@@ -94,14 +95,14 @@
     });
   }
 
-  /** Makes the one call to the cloud of this pass: orders in progress first, then new ones, returns, and the list. */
+  /** Makes the pass's call to the cloud, in order of precedence: pending orders, a new order, returns, listing. */
   private async callCloud(
     leaderCondition: Condition,
     rentalPlan: RentalPlan | null,
     now: number,
   ): Promise<void> {
     const { cloud, callbacks } = this.dependencies;
-    // Nothing is recorded that cannot be sent; a read of the prices shows when the cloud is back.
+    // No order is recorded while it cannot be sent; reading the types shows when the cloud is reachable again.
     if (!callbacks.canCallCloud()) return this.machineTypes.probeCloud();
     if (await this.rentalOrders.resume(leaderCondition)) return;
     if (rentalPlan !== null && cloud.tryAcquireCall())
--- a/src/autoscaling/removal-selection.ts
+++ b/src/autoscaling/removal-selection.ts
@@ -1,24 +1,27 @@
-/** Which machines to return: those that are empty over the idle wait, and those that are lost for good. Pure. */
+/** Selects machines to return: idle for longer than the idle wait, lost, quarantined or failed to boot. Pure. */
 import type { MachineSummary } from "../peers/peer-messages.js";
 import { typicalBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
 import { MIN_EMPTY_HEARTBEATS } from "./shard-balancing.js";
 
-/** Machines of one shard that are to be drained. */
+/** Machines of one shard to be drained. */
 export interface MachineSelection {
   shard: number;
   hosts: string[];
 }
 
 /**
- * A machine is returned after so many usual boot times, and a lease in which its worker may still be looking for its
- * owner: it may never come up.
+ * A machine that is still booting after this many typical boot times plus one lease is considered failed and returned.
+ * During that lease, the worker of a machine that has booted may still be trying controllers to find its owner.
  */
 const FAILED_BOOT_FACTOR = 4;
 
-/** An empty machine is worth keeping for as long as getting another would take, if work came at all: half of that. */
+/**
+ * The default idle wait, as a fraction of the typical boot time. Keeping an idle machine pays off for as long as a
+ * replacement would take to boot, if work arrives; half of that accounts for the case that none does.
+ */
 const IDLE_WAIT_BOOT_FRACTION = 0.5;
 
-/** The machines to be drained, by shard. */
+/** Selects the machines to be drained, by shard; shards that have not recovered are skipped. */
 export function selectForRemoval(view: ScalingView, types: MachineTypes): MachineSelection[] {
   const selections: MachineSelection[] = [];
   const machinesByHost = new Map(view.machines.map((machine) => [machine.host, machine]));
@@ -49,8 +52,8 @@
       return isIdleForTooLong(reported, machine, view, types);
     case "quarantined":
       return true;
-    // Guards against returning what has just been transferred: its rental is long ago, and no heartbeat of it has reached
-    // its new owner yet.
+    // Uses the time in this state instead of the machine's age: one just transferred may have been rented long ago, and
+    // its new owner has received no heartbeat from it yet.
     case "lease_expired":
     case "awaiting_heartbeat":
       return !isOwnerPartitioned && reported.stateForMs >= view.leaseMs;
@@ -77,7 +80,7 @@
   return view.wallNow - machine.since >= maxBootMs;
 }
 
-/** Guards against returning a whole fleet because its heartbeats do not reach their owner. */
+/** Whether more leases have expired than machines are reachable; prevents returning a fleet cut off from its owner. */
 function isLikelyPartitioned(machines: MachineSummary[]): boolean {
   const expired = machines.filter(({ state }) => state === "lease_expired").length;
   const reachable = machines.filter(
--- a/src/autoscaling/rental-order-record.ts
+++ b/src/autoscaling/rental-order-record.ts
@@ -1,4 +1,4 @@
-/** The record of a rental order: written before the order is sent, and removed together with the write of its machines. */
+/** The record of a rental order: written before the order is sent, and removed when its machines are recorded. */
 import * as z from "zod";
 import type { RentalPlan } from "./rental-plan.js";
 
@@ -8,7 +8,7 @@
   spot: z.boolean(),
   count: z.int().positive(),
   parts: z.array(z.object({ shard: z.int().nonnegative(), count: z.int().positive() })),
-  /** Time of day at which it was recorded, in milliseconds. */
+  /** Wall-clock time at which the order was recorded, in milliseconds. */
   since: z.number(),
 });
 
@@ -16,15 +16,15 @@
 export type RentalOrderRecord = z.infer<typeof recordSchema>;
 
 /**
- * The record of a rental that is to be ordered.
+ * Converts a rental plan to the record of its order.
  *
- * @param wallNow time of day, in milliseconds
+ * @param wallNow wall-clock time, in milliseconds
  */
 export function toRentalOrderRecord(plan: RentalPlan, wallNow: number): RentalOrderRecord {
   return { ...plan, since: wallNow };
 }
 
-/** Null where the record cannot be read. */
+/** Parses a stored rental order; null if it is invalid. */
 export function readRentalOrder(value: unknown): RentalOrderRecord | null {
   return recordSchema.safeParse(value).data ?? null;
 }
--- a/src/autoscaling/rental-orders.ts
+++ b/src/autoscaling/rental-orders.ts
@@ -1,4 +1,4 @@
-/** Rental orders: each is recorded before it is sent, and its machines before they count. */
+/** Rental orders: each is recorded before it is sent, and its machines are recorded before they are used. */
 import { keys, prefixes } from "../state/keys.js";
 import type { Condition } from "../wire/index.js";
 import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
@@ -8,10 +8,10 @@
 import { readRentalOrder, toRentalOrderRecord, type RentalOrderRecord } from "./rental-order-record.js";
 import type { RentalPlan } from "./rental-plan.js";
 
-/** The usual boot time of a machine type that no record describes. */
+/** The typical boot time assumed for a machine type that is not recorded. */
 const DEFAULT_BOOT_MS = 30_000;
 
-/** What rental orders are made from. */
+/** Dependencies of rental orders. */
 export interface RentalOrdersDependencies extends Pick<
   AutoscalerDependencies,
   "settings" | "cloud" | "state" | "view" | "fleet" | "clock" | "log"
@@ -22,22 +22,27 @@
 
 /** An order whose record is in the state store. */
 interface RecordedOrder {
-  /** Under which the cloud rents nothing twice. */
+  /** Idempotency key: the cloud executes an order of this name only once. */
   name: string;
-  /** The version of its record. */
+  /** The version of the order's record. */
   version: number;
   record: RentalOrderRecord;
 }
 
-/** Records rental orders, sends them and records the machines that they bring. */
+/** Records rental orders, sends them and records the machines rented. */
 export class RentalOrders {
   constructor(private readonly dependencies: RentalOrdersDependencies) {}
 
-  /** Records an order and sends it; the caller has acquired the call to the cloud. */
+  /**
+   * Records an order and sends it; the caller must have acquired the call to the cloud.
+   *
+   * @throws {CloudError} if the cloud returns no usable response
+   * @throws {StateStoreError} if the state store returns no usable response
+   */
   async place(leaderCondition: Condition, plan: RentalPlan): Promise<void> {
     const { state, log } = this.dependencies;
     const record = toRentalOrderRecord(plan, Date.now());
-    // A name must never come twice, from any process.
+    // Must be unique across all processes: the cloud executes only one order of each name.
     const name = `fp-${crypto.randomUUID()}`;
     const result = await state.compareAndSwap(
       [leaderCondition],
@@ -50,9 +55,12 @@
   }
 
   /**
-   * Sends an order whose response never came again under its name, which rents nothing twice.
+   * Sends a recorded order again if its machines have not been recorded, for example because the response was lost. The
+   * name is the same, so that no machine is rented twice. An invalid record is removed.
    *
-   * @returns whether there is such an order, also if no call to the cloud is allowed now
+   * @returns whether there is such an order, even if the rate limit permits no call to the cloud now
+   * @throws {CloudError} if the cloud returns no usable response
+   * @throws {StateStoreError} if the state store returns no usable response
    */
   async resume(leaderCondition: Condition): Promise<boolean> {
     const { cloud, state, view } = this.dependencies;
@@ -96,9 +104,9 @@
     const groups = parts.flatMap(({ shard, count }) =>
       machineGroupWrites(newHosts.splice(0, count), { shard, type, zone, spot }, settings.state.valueBytes),
     );
-    // The order is still there, as it was sent: a late copy of this write brings no machine back.
+    // The order's record must be unchanged, so that a delayed copy of this write cannot restore removed machines.
     const conditions = [leaderCondition, { key: keys.rentalOrder(name), version }];
-    // Machines past what one write holds are in no record: they are registered once their heartbeats come.
+    // Machines that exceed the transaction limit are not recorded here; they are registered by their heartbeats.
     const writes = [...groups.slice(0, state.txnOps - 1), { remove: keys.rentalOrder(name) }];
     await state.compareAndSwap(conditions, writes, "ownership");
   }
--- a/src/autoscaling/rental-plan.ts
+++ b/src/autoscaling/rental-plan.ts
@@ -1,4 +1,4 @@
-/** Which machines to rent: the cheapest pool for a shortage, and one plan for all that need the same pool. Pure. */
+/** Plans rentals: finds the cheapest pool for a shortage, and combines shortages that need the same pool. Pure. */
 import { poolKey, type InstancePool } from "../cloud/instance-pool.js";
 import { allowsPool, type Demand } from "../peers/peer-messages.js";
 import { slotsPerMachine } from "../placement/capacity.js";
@@ -6,20 +6,20 @@
 import type { MachineTypes, ScalingView } from "./scaling-view.js";
 import { machinesNeeded, type Shortage } from "./shortages.js";
 
-/** How many machines of a rental are for one shard. */
+/** The machines of a rental intended for one shard. */
 interface RentalPart {
   shard: number;
   count: number;
 }
 
-/** Machines to be rented in one call. */
+/** A rental to be made in one call to the cloud. */
 export interface RentalPlan extends InstancePool {
   count: number;
-  /** Which shards it is for, and how many machines each; the first are served first if fewer come. */
+  /** The allocation to shards; if fewer machines are rented, earlier parts are served first. */
   parts: RentalPart[];
 }
 
-/** The cheapest pool for this demand, per task, among those that have not refused lately; null if there is none. */
+/** Finds the pool with the lowest price per task for a demand, excluding pools in backoff; null if there is none. */
 export function findCheapestPool(view: ScalingView, demand: Demand): InstancePool | null {
   let cheapest: InstancePool | null = null;
   let lowestPrice = Infinity;
@@ -37,10 +37,10 @@
 }
 
 /**
- * The plan with the machines added that a shortage takes. A pass makes one call to the cloud, so that a plan for another
- * pool stays as it is.
+ * Extends the plan by the machines that a shortage needs. A pass makes only one call to the cloud, so that a plan for a
+ * different pool is returned unchanged.
  *
- * @param machinesLeft how many machines may be rented until the cap on all machines is reached
+ * @param machinesLeft the number of machines that can be rented until the cap on all machines is reached
  */
 export function planRental(
   plan: RentalPlan | null,
@@ -60,12 +60,12 @@
   return count > 0 ? addMachines(extended, shortage.shard, count) : plan;
 }
 
-/** All pools of a machine type, spot before on demand. */
+/** All pools of a machine type; in each zone, spot precedes on-demand. */
 function poolsOf(type: MachineType): InstancePool[] {
   return type.zones.flatMap((zone) => [true, false].map((spot) => ({ type: type.name, zone, spot })));
 }
 
-/** The plan with so many machines more for a shard. */
+/** Adds machines for a shard to a plan. */
 function addMachines(plan: RentalPlan, shard: number, count: number): RentalPlan {
   const isPlanned = plan.parts.some((part) => part.shard === shard);
   const parts = isPlanned
--- a/src/autoscaling/returned-machines.ts
+++ b/src/autoscaling/returned-machines.ts
@@ -1,27 +1,27 @@
-/** Machines that were returned to the cloud lately: its lists go on showing them for a while. */
+/** Tracks machines recently returned to the cloud, which its lists may still include. */
 
-/** The hosts of machines that were returned in this term, and when. */
+/** The machines returned in this term that have not expired. */
 export class ReturnedMachines {
-  /** By host, the steady time of the return. */
+  /** By host: the monotonic time of the return, in milliseconds. */
   private readonly returnedAt = new Map<string, number>();
 
-  /** Records that a machine was returned. */
+  /** Records the return of a machine. */
   add(host: string, now: number): void {
     this.returnedAt.set(host, now);
   }
 
-  /** Whether a machine was returned lately. */
+  /** Whether the return of a machine is recorded. */
   has(host: string): boolean {
     return this.returnedAt.has(host);
   }
 
-  /** Forgets machines that were returned longer ago than so many milliseconds. */
+  /** Removes machines that were returned more than `ageMs` ago. */
   expire(ageMs: number, now: number): void {
     for (const [host, returnedAt] of this.returnedAt)
       if (now - returnedAt > ageMs) this.returnedAt.delete(host);
   }
 
-  /** Forgets all machines. */
+  /** Removes all machines. */
   clear(): void {
     this.returnedAt.clear();
   }
--- a/src/autoscaling/scaling-policy.ts
+++ b/src/autoscaling/scaling-policy.ts
@@ -1,4 +1,4 @@
-/** How much to rent, what to return, what shards do for each other. Pure: at most one action of each kind. */
+/** Decides the actions of a pass: a rental, rebalancing between shards, and machines to drain. Pure. */
 import { selectForRemoval, type MachineSelection } from "./removal-selection.js";
 import { findCheapestPool, planRental, type RentalPlan } from "./rental-plan.js";
 import type { MachineTypes, ScalingView } from "./scaling-view.js";
@@ -12,18 +12,18 @@
 } from "./shard-balancing.js";
 import { findShortages, type Shortage } from "./shortages.js";
 
-/** What one pass decided. */
+/** The actions decided by one pass: at most one of each kind, except for drains. */
 export interface ScalingActions {
   rentalPlan: RentalPlan | null;
   machineTransfer: MachineTransfer | null;
-  /** For a shard that has no machine and can rent none. */
+  /** On behalf of a shard that has no usable machine and for which none can be rented. */
   cordon: CordonRequest | null;
   jobMigration: JobMigration | null;
-  /** What is to be drained, of each shard that has any: a request to its owner takes no call to the cloud. */
+  /** Drains for all shards at once: a request to an owner needs no call to the cloud. */
   drains: MachineSelection[];
 }
 
-/** One reconciliation pass: compares the unmet demand with what is rented and booting. */
+/** Decides the actions of one reconciliation pass from the shards' demand and the machines that are rented. */
 export function decideScaling(view: ScalingView): ScalingActions {
   const types = new Map(view.types.map((type) => [type.name, type]));
   const actions: ScalingActions = {
@@ -38,13 +38,13 @@
   return actions;
 }
 
-/** Guards against a shard that waits without any machine while others take all that can be had: one comes first. */
+/** Puts one machine for each shard that has none first, so that other shards cannot take all available machines. */
 function prioritizeFirstMachines(shortages: Shortage[]): Shortage[] {
   const withoutMachine = shortages.filter((shortage) => shortage.hasNoMachine);
   return [...withoutMachine.map((shortage) => ({ ...shortage, maxMachines: 1 })), ...shortages];
 }
 
-/** Adds to the actions what covers a shortage, as far as they do not hold an action of that kind already. */
+/** Adds actions that cover a shortage; a transfer or cordon that is already planned is not replaced. */
 function coverShortage(
   shortage: Shortage,
   actions: ScalingActions,
--- a/src/autoscaling/shard-balancing.ts
+++ b/src/autoscaling/shard-balancing.ts
@@ -1,37 +1,40 @@
-/** What shards can do for each other before machines are rented: transfer machines, cordon one, migrate a job. Pure. */
+/** Rebalancing between shards: transfers of idle machines, cordons and job migrations. Pure. */
 import { allowsPool, type Demand, type MachineSummary, type ShardSummary } from "../peers/peer-messages.js";
 import { fits, slotsPerMachine } from "../placement/capacity.js";
 import type { MachineTypes, RentedMachine, ScalingView } from "./scaling-view.js";
 import type { Shortage } from "./shortages.js";
 
-/** Idle machines that are transferred to another shard. */
+/** A transfer of idle machines from `shard` to `targetShard`. */
 export interface MachineTransfer {
   shard: number;
   targetShard: number;
   hosts: string[];
 }
 
-/** A request to cordon one machine that suits a demand, so that it becomes empty for another shard. */
+/** A request to `shard` to cordon one machine suitable for a demand, so that it empties and can be transferred. */
 export interface CordonRequest {
   shard: number;
   targetShard: number;
   demand: Demand;
 }
 
-/** A request to migrate a job that has not begun to another shard. */
+/** A request to migrate a job that has not started to another shard. */
 export interface JobMigration {
   shard: number;
   targetShard: number;
   job: string;
 }
 
-/** So many heartbeats in a row without a task show that a machine is empty. */
+/** A machine counts as empty after this many consecutive heartbeats without a task. */
 export const MIN_EMPTY_HEARTBEATS = 2;
 
-/** A shard with unmet demand of its own transfers so many machines, to a shard that has none. */
+/** The maximum number of machines that a shard with unmet demand of its own transfers, to a shard that has none. */
 const MAX_TRANSFER_DESPITE_DEMAND = 1;
 
-/** Empty machines of another shard that suit the shortage: better than renting, however short they have been empty. */
+/**
+ * Chooses idle machines of another shard that are suitable for the shortage; null if there are none. A transfer is
+ * preferred to a rental, however recently the machines have become idle.
+ */
 export function chooseMachineTransfer(
   view: ScalingView,
   shortage: Shortage,
@@ -50,7 +53,7 @@
   return null;
 }
 
-/** Which shard is to cordon a machine: the one with the most that suit, if it has others left. */
+/** Chooses the shard with the most suitable machines to cordon one; null if no shard has at least two. */
 export function chooseCordon(
   view: ScalingView,
   { shard: targetShard, demand }: Shortage,
@@ -70,7 +73,7 @@
   return chosen;
 }
 
-/** The job that has waited longest of those for which another shard has free capacity that nothing of its own takes. */
+/** Chooses the longest-waiting job that fits into capacity that another shard does not need; null if there is none. */
 export function chooseJobMigration(summaries: (ShardSummary | undefined)[]): JobMigration | null {
   let longestWaitMs = -Infinity;
   let chosen: JobMigration | null = null;
@@ -98,7 +101,7 @@
   );
 }
 
-/** As many machines as the demand takes. */
+/** Selects machines until they cover the demand or `maxMachines` is reached. */
 function selectMachinesFor(
   demand: Demand,
   machines: RentedMachine[],
--- a/src/autoscaling/shard-requests.ts
+++ b/src/autoscaling/shard-requests.ts
@@ -1,14 +1,14 @@
-/** Requests of the leader to the owners of shards; one that fails is made again by a later pass. */
+/** Sends the leader's requests to shard owners. Failures are ignored: a later pass decides again what to request. */
 import type { PeerRequest } from "../peers/peer-messages.js";
 import type { AutoscalerCallbacks } from "./autoscaler-dependencies.js";
 import type { MachineSelection } from "./removal-selection.js";
 import type { ScalingActions } from "./scaling-policy.js";
 import type { CordonRequest, JobMigration, MachineTransfer } from "./shard-balancing.js";
 
-/** A job migration follows the last one after so many passes: summaries show what has migrated only after a while. */
+/** The minimum number of passes between job migrations: summaries reflect a migration only after a delay. */
 const PASSES_BETWEEN_MIGRATIONS = 2;
 
-/** Sends what a pass decided on to the owners of the shards. */
+/** Sends the actions of a pass to the owners of the shards concerned. */
 export class ShardRequests {
   private lastMigrationAt = -Infinity;
 
@@ -17,7 +17,7 @@
     private readonly passSpacingMs: number,
   ) {}
 
-  /** Sends the requests of one pass, one after the other but for those to drain machines. */
+  /** Sends the requests of one pass: drain requests concurrently, after the other requests in sequence. */
   async send(actions: ScalingActions, now: number): Promise<void> {
     const { machineTransfer, cordon, jobMigration, drains } = actions;
     if (machineTransfer !== null) await this.transferMachines(machineTransfer);
@@ -26,7 +26,7 @@
     await Promise.all(drains.map((selection) => this.drainMachines(selection)));
   }
 
-  /** Requests the owner of a shard to drain machines. */
+  /** Asks the owner of a shard to drain machines. */
   drainMachines(selection: MachineSelection): Promise<void> {
     return this.request(selection.shard, { drainMachines: selection });
   }
--- a/src/autoscaling/shortages.ts
+++ b/src/autoscaling/shortages.ts
@@ -1,36 +1,36 @@
-/** What the shards lack: their unmet demand beyond what booting machines will take. Pure. */
+/** Computes the shortages of the shards: unmet demand that booting machines will not cover. Pure. */
 import type { InstancePool } from "../cloud/instance-pool.js";
 import { allowsPool, type Demand, type MachineCondition, type ShardSummary } from "../peers/peer-messages.js";
 import { ROUNDING_TOLERANCE, slotsPerMachine } from "../placement/capacity.js";
 import { PRIORITIES, type Priority } from "../wire/index.js";
 import { typicalBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
 
-/** A machine that takes longer than this many usual boot times to come up covers no demand any more. */
+/** A machine that has been booting for this many typical boot times no longer covers demand. */
 const LATE_BOOT_FACTOR = 2;
 
-/** What one shard lacks. */
+/** The shortage of one shard. */
 export interface Shortage {
   shard: number;
-  /** The most urgent unmet demand; decides where to rent. */
+  /** The demand that determines where to rent: the most urgent without any usable machine, or else the most urgent. */
   demand: Demand;
-  /** All unmet demand of the shard, the most urgent first. */
+  /** All unmet demand of the shard, most urgent first. */
   unmetDemand: Demand[];
-  /** Whether the shard has no machine, up or booting, that may run tasks of `demand`. */
+  /** Whether the shard has no machine, up or booting, on which tasks of `demand` are allowed to run. */
   hasNoMachine: boolean;
-  /** How many machines may be ordered for it. */
+  /** The maximum number of machines to order for this shortage. */
   maxMachines: number;
 }
 
-/** The conditions that an owner reports, by host. */
+/** By host: the condition reported by the owner. */
 type ReportedConditions = ReadonlyMap<string, MachineCondition>;
 
-/** A machine that is booting, and which fraction of it no demand has been assigned to yet. */
+/** A booting machine, and the fraction of its capacity that is not yet assigned to demand. */
 interface BootingMachine {
   machine: RentedMachine;
   freeFraction: number;
 }
 
-/** How many tasks all shards together may still ask machines for. */
+/** The number of tasks for which all shards together can still request machines. */
 class TaskBudget {
   constructor(private tasksLeft: number) {}
 
@@ -41,12 +41,12 @@
   }
 }
 
-/** The shortages of all shards, the most urgent first. */
+/** Computes the shortages of all shards, most urgent first. */
 export function findShortages(view: ScalingView, types: MachineTypes): Shortage[] {
   const taskBudget = new TaskBudget(view.caps.maxTasks);
   const shortages: Shortage[] = [];
   for (const [shard, summary] of view.summaries.entries()) {
-    // Before an owner has reconciled its machines, its queue does not show what is short.
+    // The queue does not reflect the actual shortage until the owner has reconciled its machines.
     if (!summary?.recovered) continue;
     const shortage = findShortage(shard, summary, view, types, taskBudget);
     if (shortage !== null) shortages.push(shortage);
@@ -54,7 +54,7 @@
   return shortages.sort((a, b) => priorityRank(b.demand) - priorityRank(a.demand));
 }
 
-/** How many machines of a pool the unmet demand that it suits takes. */
+/** The number of machines of a pool needed for the part of the unmet demand that can run there. */
 export function machinesNeeded(shortage: Shortage, pool: InstancePool, types: MachineTypes): number {
   const type = types.get(pool.type);
   if (!type) return 0;
@@ -98,7 +98,7 @@
   };
 }
 
-/** The demand that booting machines leave over, the most urgent first. */
+/** The demand not covered by booting machines, most urgent first, limited by the task budget. */
 function findUnmetDemand(
   demands: readonly Demand[],
   booting: BootingMachine[],
@@ -114,7 +114,7 @@
   return unmetDemand;
 }
 
-/** Assigns tasks to booting machines, and returns how many of them found a place. */
+/** Assigns tasks to booting machines, and returns the number of tasks assigned. */
 function assignToBooting(
   demand: Demand,
   tasks: number,
@@ -135,8 +135,9 @@
 }
 
 /**
- * Whether a machine is rented, has sent no heartbeat to its owner yet, and is not overdue. Guards against a boot that
- * never ends covering demand for ever.
+ * Whether a machine has sent no heartbeat to its current owner yet and is not overdue. The time limit prevents a
+ * machine that never completes its boot from covering demand forever. It does not apply to machines that have sent a
+ * heartbeat to an earlier owner.
  */
 function isStillBooting(
   machine: RentedMachine,
--- a/src/autoscaling/summary-store.ts
+++ b/src/autoscaling/summary-store.ts
@@ -1,11 +1,11 @@
-/** The owners' latest summaries, as long as they are recent. */
+/** Stores the latest summary of each shard, and ignores summaries that are too old. */
 import type { ShardSummary } from "../peers/peer-messages.js";
 import { keys } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { Fleet } from "../workers/fleet.js";
 import { fromDemandRecord } from "./demand-record.js";
 
-/** A summary that came from its owner is used for so many passes, and one that was left in the records for so many. */
+/** The maximum age, in passes, of a summary received from its owner and of one read from the records. */
 const MAX_AGE_PASSES = 4;
 const MAX_RECORD_AGE_PASSES = 8;
 
@@ -14,13 +14,13 @@
   receivedAt: number;
 }
 
-/** A version of a record, and the steady time at which it was first seen. */
+/** A version of a record, and the monotonic time at which it was first seen. */
 interface SeenVersion {
   version: number;
   seenAt: number;
 }
 
-/** Summaries that came from owners, and those that were left in the records instead. */
+/** Summaries received from owners, with the recorded summaries as a fallback. */
 export class SummaryStore {
   private readonly received: ReceivedSummary[] = [];
   private readonly seenVersions = new Map<number, SeenVersion>();
@@ -28,21 +28,21 @@
   constructor(
     private readonly view: ReplicaView,
     private readonly fleet: Fleet,
-    /** The time between two reconciliation passes. */
+    /** The time between two reconciliation passes, in milliseconds. */
     private readonly passSpacingMs: number,
   ) {}
 
-  /** Adds a summary that has come from its owner. */
+  /** Stores a summary received from the owner of its shard. */
   add(summary: ShardSummary, now: number): void {
     this.received[summary.shard] = { summary, receivedAt: now };
   }
 
-  /** Forgets what came in an earlier term, which proves nothing in this one. */
+  /** Discards summaries received in an earlier term, which are outdated. */
   clear(): void {
     this.received.length = 0;
   }
 
-  /** The latest summary of a shard; undefined if there is no recent one. */
+  /** The latest summary of a shard, received or recorded; undefined if there is no recent one. */
   latest(shard: number, now: number): ShardSummary | undefined {
     const latest = this.received[shard];
     if (latest !== undefined && now - latest.receivedAt < MAX_AGE_PASSES * this.passSpacingMs)
@@ -50,7 +50,7 @@
     return this.recordedSummary(shard, now);
   }
 
-  /** What the owner has left in the records lately, and since it became the owner. */
+  /** The recorded summary of a shard; undefined if it is too old, invalid or not from the current owner. */
   private recordedSummary(shard: number, now: number): ShardSummary | undefined {
     const entry = this.view.get(keys.shardDemand(shard));
     if (entry === undefined) return undefined;
--- a/src/autoscaling/unregistered-machines.ts
+++ b/src/autoscaling/unregistered-machines.ts
@@ -1,8 +1,8 @@
-/** Machines that send heartbeats although no record names them, until it is certain enough that they exist. */
+/** Tracks machines that send heartbeats but have no record, until a second heartbeat confirms that they exist. */
 import { LRUCache } from "lru-cache";
 import type { Heartbeat } from "../wire/index.js";
 
-/** The first heartbeat of an unregistered machine. */
+/** The first heartbeat received from an unregistered machine. */
 interface FirstHeartbeat {
   epoch: number;
   sequence: number;
@@ -10,15 +10,15 @@
 }
 
 /**
- * Guards against registering a machine that has been returned: copies of its heartbeats may come late. A machine counts
- * as existing only once a second heartbeat, newer and some time after the first, has come in.
+ * Prevents registration of a machine that has been returned, of whose heartbeats delayed copies may still arrive. A
+ * machine is confirmed only by a second heartbeat that is newer than the first and received some time after it.
  */
 export class UnregisteredMachines {
   private readonly firstHeartbeats: LRUCache<string, FirstHeartbeat>;
 
   /**
-   * @param minGapMs the least time between the first heartbeat and the one that confirms it
-   * @param maxMachines how many machines are remembered until their second heartbeat: all that may be rented at a time
+   * @param minGapMs the minimum time between the first heartbeat and the one that confirms it
+   * @param maxMachines the maximum number of unconfirmed machines tracked: as many as can be rented at a time
    */
   constructor(
     private readonly minGapMs: number,
@@ -27,7 +27,7 @@
     this.firstHeartbeats = new LRUCache({ max: maxMachines });
   }
 
-  /** Whether this heartbeat confirms that the machine exists, so that it is to be registered. */
+  /** Whether this heartbeat confirms that the machine exists and can be registered; remembers a first heartbeat. */
   confirm({ host, epoch, sequence }: Pick<Heartbeat, "host" | "epoch" | "sequence">, now: number): boolean {
     const first = this.firstHeartbeats.get(host);
     if (first === undefined) {
@@ -38,7 +38,7 @@
     return isNewer && now - first.receivedAt >= this.minGapMs;
   }
 
-  /** Forgets the heartbeat of a machine that is surely gone. */
+  /** Removes the heartbeat of a machine that has been returned. */
   forget(host: string): void {
     this.firstHeartbeats.delete(host);
   }
--- a/src/cloud/cloud-error.ts
+++ b/src/cloud/cloud-error.ts
@@ -1,15 +1,15 @@
-/** Failures of calls to the cloud. */
+/** The error for failed calls to the cloud. */
 
-/** What is known of a failed call. */
+/** Details of a failed call. */
 export interface CloudErrorDetails extends ErrorOptions {
-  /** The HTTP status that the cloud answered with; absent if no answer came. */
+  /** The HTTP status of the response; absent if there was none. */
   readonly status?: number;
 }
 
-/** The cloud gave no usable answer: the request may have been executed, or may yet be. */
+/** The cloud returned no usable response: the request may have been executed, or may still be executed later. */
 export class CloudError extends Error {
   override readonly name = "CloudError";
-  /** The HTTP status of the answer; null if none came. */
+  /** The HTTP status of the response; null if there was none. */
   readonly status: number | null;
 
   constructor(message: string, details: CloudErrorDetails) {
--- a/src/cloud/instance-pool.ts
+++ b/src/cloud/instance-pool.ts
@@ -1,15 +1,15 @@
-/** What the cloud rents separately: a machine type in a zone, spot or on demand. */
+/** Instance pools: the combinations of machine type, zone and spot or on-demand that the cloud rents separately. */
 
-/** A pool of like machines; it has a price, and refusals, of its own. */
+/** A pool of identical machines, with its own price and its own capacity. */
 export interface InstancePool {
   /** The name of the machine type. */
   type: string;
   zone: string;
-  /** Spot machines cost less, and the cloud may interrupt them. */
+  /** Whether the machines are spot: cheaper, but the cloud can interrupt them. */
   spot: boolean;
 }
 
-/** A pool as a key of maps. */
+/** A string that identifies a pool, for use as a map key. */
 export function poolKey(pool: InstancePool): string {
   return `${pool.type}/${pool.zone}/${pool.spot ? "spot" : "ordinary"}`;
 }
--- a/test/autoscaling.test.ts
+++ b/test/autoscaling.test.ts
@@ -1,4 +1,4 @@
-/** Traces of scaling decisions: summaries and machines in; rentals, machine transfers, cordons and drains out. */
+/** Tests of scaling decisions, replayed from traces, and of the autoscaler's records, listings and registration. */
 import assert from "node:assert/strict";
 import { describe, test } from "node:test";
 import { fromDemandRecord, toDemandRecord } from "../src/autoscaling/demand-record.js";
@@ -48,7 +48,7 @@
     priority: event.options.get("priority") ?? "normal",
   });
 
-/** What the owner reports of a machine, from one `reports` event. */
+/** The owner's summary of a machine, from one `reports` event. */
 const machineSummaryOfEvent = (event: TraceEvent): MachineSummary => ({
   host: event.words[0]!,
   state: event.words[1] as MachineCondition,
@@ -56,7 +56,7 @@
   emptyHeartbeats: number(event, "empty", 0),
 });
 
-/** The outcome of a pass as lines of the trace. */
+/** The actions of a pass, as lines of a trace. */
 function outcomeLines({ rentalPlan, machineTransfer, cordon, drains }: ScalingActions): string[] {
   const lines: string[] = [];
   if (rentalPlan !== null) {
@@ -83,7 +83,7 @@
   hasReported: true,
 });
 
-/** What the events of one trace have set up so far. */
+/** The state set up by the events of one trace. */
 class ScalingScenario {
   private wallNow = 0;
   private readonly machines = new Map<string, RentedMachine>();
@@ -91,7 +91,7 @@
   private readonly refusedPools = new Set<string>();
   private readonly caps = { maxMachines: 10, maxTasks: 1000, idleWaitMs: null };
 
-  /** Carries out an event, and returns the lines of the trace that come of it. */
+  /** Applies an event, and returns the lines of its outcome. */
   step(event: TraceEvent): string[] {
     if (event.verb === "pass") return outcomeLines(this.makePass());
     this.setUp(event);
@@ -120,7 +120,7 @@
         this.refusedPools.add(argument);
         return;
       default:
-        throw new Error(`no such event as ${event.verb}`);
+        throw new Error(`unknown trace event: ${event.verb}`);
     }
   }
 
@@ -164,10 +164,10 @@
 });
 
 void describe("autoscaling/unregistered-machines", () => {
-  test("late copies of one heartbeat do not register a returned machine again", () => {
+  test("delayed copies of one heartbeat do not confirm that a returned machine exists", () => {
     const unregistered = new UnregisteredMachines(750, 100);
     const copy = { host: "i-1", epoch: 2, sequence: 40 };
-    // However often the same heartbeat comes, it is one heartbeat; an older one proves nothing either.
+    // Neither copies of the first heartbeat nor an older heartbeat confirm the machine.
     assert.deepEqual(
       [0, 1000, 60_000].map((now) => unregistered.confirm(copy, now)),
       [false, false, false],
@@ -180,7 +180,7 @@
 });
 
 void describe("autoscaling/demand-record", () => {
-  test("a recorded summary keeps the demand and the booting machines, and shows no machine as idle", () => {
+  test("a summary read from its record keeps demand and booting machines, and reports no machine as idle", () => {
     const demand = demandOf({ memoryGb: 2, count: 7 });
     const machine = (host: string, state: MachineCondition): MachineSummary => ({
       host,
@@ -209,7 +209,7 @@
 });
 
 void describe("autoscaling/machine-listing", () => {
-  test("two pages that disagree make no machine missing; two whole lists without it do", () => {
+  test("a machine is missing only after successive complete lists have omitted it", () => {
     const listing = new MachineListing(1000);
     const listed = (host: string): ListedMachine => ({
       host,
@@ -223,16 +223,16 @@
     const readMissing = (now: number, firstPage: string[], secondPage: string[]): string[] => {
       assert.equal(listing.addPage(firstPage.map(listed), true, now), null);
       assert.equal(listing.after, firstPage.at(-1));
-      const wholeList = listing.addPage(secondPage.map(listed), false, now + 1)!;
-      return listing.missing(wholeList, isRecorded, now + 1);
+      const completeList = listing.addPage(secondPage.map(listed), false, now + 1)!;
+      return listing.missing(completeList, isRecorded, now + 1);
     };
     assert.deepEqual(readMissing(0, ["i-1", "i-2"], ["i-3", "i-9"]), []);
-    // The second page is older than the first, and shows the third machine not yet or no more.
+    // The second page is from another point in time than the first and does not include i-3.
     assert.deepEqual(readMissing(1500, ["i-1", "i-2"], []), []);
     assert.deepEqual(readMissing(3000, ["i-1", "i-2"], ["i-3"]), []);
     assert.deepEqual(readMissing(5000, ["i-1", "i-2"], []), []);
     assert.deepEqual(readMissing(7500, ["i-1", "i-2"], []), ["i-3"]);
-    // An outage between two pages: the list is begun anew.
+    // After an outage between two pages, the listing starts again.
     assert.equal(listing.addPage([listed("i-1")], true, 9000), null);
     assert.equal(listing.isInProgress(10_000), true);
     assert.equal(listing.isInProgress(11_001), false);
@@ -241,7 +241,7 @@
 });
 
 void describe("workers/fleet", () => {
-  test("machines are returned in as many groups as one transaction takes out of the records", () => {
+  test("a stage change of many machines is limited to the groups that fit into one transaction", () => {
     const fleet = new Fleet(createLogger("test"));
     const groups = Array.from({ length: 20 }, (_, group) => ({
       key: `fernpond/live/machines/g-${group}`,
@@ -261,7 +261,7 @@
     assert.equal(allHosts.length, 100);
     const { conditions, writes, hosts } = fleet.changeStage(allHosts, null, 8);
     assert.deepEqual([conditions.length, writes.length, hosts.length], [8, 8, 40]);
-    // Once they are out of the records the next ones follow, until none is left.
+    // After their removal, the next call removes other machines.
     const removals = writes.map((write) => ({
       key: "remove" in write ? write.remove : write.put,
       value: undefined,
--- a/test/processes.test.ts
+++ b/test/processes.test.ts
@@ -68,7 +68,7 @@
   "an order whose answer is lost is sent again under its name, and rents nothing twice",
   1,
   async (cluster) => {
-    cluster.cloud.rentalResponsesToDrop = 2;
+    cluster.cloud.rentalResponsesToFail = 2;
     await cluster.until(
       () => cluster.request(0, "POST", "/work", submission("req-3", { pieces: 4 })),
       accepted,
--- a/test/support/cloud.ts
+++ b/test/support/cloud.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the cloud: its machines run a worker stand-in each. */
+/** A fake cloud whose machines each run a fake worker. */
 import { sleep } from "../../src/runtime/sleep.js";
 import { listen, type Listening, type Reply } from "./http.js";
 import {
@@ -9,28 +9,29 @@
   type WorkerObserver,
 } from "./worker.js";
 
-/** What an observer beside the cloud and its machines sees. */
+/** Receives events of the fake cloud and its machines. */
 export interface CloudObserver extends WorkerObserver {
   rented?(order: string): void;
   returned?(host: string): void;
 }
 
+/** Handles the cloud's requests in memory; each rented machine runs a worker. */
 export class FakeCloud implements WorkerObserver {
   readonly machines = new Map<string, WorkerStandIn>();
-  /** What went against the rule that a task runs on one machine at a time. */
+  /** Violations of the rule that a task runs on only one machine at a time. */
   readonly duplicateRuns: string[] = [];
-  /** Every start of a task, on whichever machine. */
+  /** The task of every start, on any machine and in order; a task that was started again is listed again. */
   readonly startedTasks: string[] = [];
-  /** Answers to rentals that are lost on the way, though the machines are rented. */
-  rentalResponsesToDrop = 0;
-  /** How many machines there are at the most. */
+  /** How many of the next rental requests get an error response although the machines are rented. */
+  rentalResponsesToFail = 0;
+  /** The maximum number of machines that are rented at the same time. */
   capacity = Infinity;
   private readonly hostsByOrder = new Map<string, string[]>();
   private nextHostNumber = 1;
 
   constructor(
     private readonly network: WorkerNetwork,
-    private readonly figures: WorkerFigures,
+    private readonly workerOptions: WorkerFigures,
     private readonly observer?: CloudObserver,
   ) {}
 
@@ -50,11 +51,12 @@
     this.observer?.ended?.(task, worker, cause, at);
   }
 
-  /** How many machines have ever been rented. */
+  /** The total number of machines rented so far, including returned ones. */
   get rentedCount(): number {
     return this.nextHostNumber - 1;
   }
 
+  /** Handles one request to the cloud's API. */
   handle(_method: string, url: URL, body: unknown): Reply {
     if (url.pathname === "/flavors") {
       const small = { label: "small", vcpus: 4, cards: 0, memGb: 16, cacheGb: 50, pullGbPerS: 1 };
@@ -77,42 +79,43 @@
       count: number;
     };
     const hosts = this.rent(hire, bank, loaners, count);
-    if (this.rentalResponsesToDrop-- > 0) return { status: 500, body: { error: "lost" } };
+    if (this.rentalResponsesToFail-- > 0) return { status: 500, body: { error: "lost" } };
     return hosts.length > 0
       ? { status: 200, body: { hosts } }
       : { status: 503, body: { error: "no capacity" } };
   }
 
+  /** Stops all workers. */
   close(): void {
     for (const worker of this.machines.values()) worker.stop();
   }
 
-  private rent(hire: string, bank: string, spot: boolean, count: number): string[] {
-    const existingHosts = this.hostsByOrder.get(hire);
+  private rent(order: string, zone: string, spot: boolean, count: number): string[] {
+    const existingHosts = this.hostsByOrder.get(order);
     if (existingHosts) return existingHosts;
     const grantedCount = Math.min(count, this.capacity - this.machines.size);
-    this.observer?.rented?.(hire);
+    this.observer?.rented?.(order);
     const hosts: string[] = [];
     for (let i = 0; i < grantedCount; i++) {
       const host = `i-${String(this.nextHostNumber++).padStart(6, "0")}`;
       hosts.push(host);
-      this.machines.set(host, new WorkerStandIn(host, bank, spot, this.network, this.figures, this));
+      this.machines.set(host, new WorkerStandIn(host, zone, spot, this.network, this.workerOptions, this));
     }
-    if (hosts.length > 0) this.hostsByOrder.set(hire, hosts);
+    if (hosts.length > 0) this.hostsByOrder.set(order, hosts);
     return hosts;
   }
 }
 
-/** The stand-in on loopback, whose workers report over HTTP. */
+/** Starts a fake cloud on loopback whose workers send their heartbeats over HTTP. */
 export async function startFakeCloud(
   controllers: { node: string; address: string }[],
   workerOptions: WorkerFigures,
   observer?: CloudObserver,
-  /** How long an answer to a worker is held up on its way. */
+  /** The delay of each response to a worker, in milliseconds. */
   answerDelayMs: () => number = () => 0,
 ): Promise<FakeCloud & Listening> {
   const network: WorkerNetwork = {
-    controllers: controllers.map((c) => c.node),
+    controllers: controllers.map(({ node }) => node),
     clock: () => performance.now(),
     send: async (_zone, node, text, timeoutMs) => {
       const response = await fetch(`http://${controllers[node]!.address}/agent/beat`, {
@@ -120,17 +123,17 @@
         body: text,
         signal: AbortSignal.timeout(timeoutMs),
       });
-      const answer = { status: response.status, body: (await response.json()) as unknown };
+      const reply = { status: response.status, body: (await response.json()) as unknown };
       const delayMs = answerDelayMs();
       if (delayMs > 0) await sleep(delayMs);
-      return answer;
+      return reply;
     },
   };
-  const standIn = new FakeCloud(network, workerOptions, observer);
-  const server = await listen((method, url, body) => standIn.handle(method, url, body));
+  const fakeCloud = new FakeCloud(network, workerOptions, observer);
+  const server = await listen((method, url, body) => fakeCloud.handle(method, url, body));
   const close = (): void => {
-    FakeCloud.prototype.close.call(standIn);
+    FakeCloud.prototype.close.call(fakeCloud);
     server.close();
   };
-  return Object.assign(standIn, { address: server.address, close });
+  return Object.assign(fakeCloud, { address: server.address, close });
 }
