--- a/src/autoscaling/machine-list-reader.ts
+++ b/src/autoscaling/machine-list-reader.ts
@@ -13,7 +13,7 @@
 /** Returned machines are remembered for this many list lags; after that, no list shows them any more. */
 const RETURNED_RETENTION_LAGS = 6;
 
-/** Minimum age of an unregistered machine, in list lags: the rental of a younger one may still be being recorded. */
+/** Minimum age of an unregistered machine, in list lags: a younger one may belong to a rental not yet recorded. */
 const MIN_UNREGISTERED_AGE_LAGS = 2;
 
 /** Dependencies of the machine list reader. */
--- a/src/autoscaling/machine-registration.ts
+++ b/src/autoscaling/machine-registration.ts
@@ -1,4 +1,4 @@
-/** Registers machines that have no record: from a rental whose response came late, or running since before startup. */
+/** Registers machines that have no record, such as those of a late rental or those that existed from the start. */
 import { poolKey, type InstancePool } from "../cloud/instance-pool.js";
 import { keys } from "../state/keys.js";
 import type { Condition, Heartbeat, Write } from "../wire/index.js";
@@ -55,7 +55,7 @@
       machineGroupWrites(hosts, attributes, settings.state.valueBytes),
     );
     if (writes.length === 0) return;
-    log.info({ hosts: groups.flatMap(({ hosts }) => hosts) }, "machines registered");
+    log.info({ hosts: groups.flatMap(({ hosts }) => hosts) }, "registering machines");
     const conditions = [leaderCondition, this.registrationCondition()];
     const registration: Write = { put: keys.machineRegistration, value: { machines: writes.length } };
     const maxGroups = state.txnOps - 1;
--- a/src/autoscaling/reconciler.ts
+++ b/src/autoscaling/reconciler.ts
@@ -62,7 +62,7 @@
   }
 
   /**
-   * Runs one pass. Every write to the state store is conditional on the leader record being unchanged.
+   * Runs one pass. Every write to the state store requires that the leader record is unchanged.
    *
    * @param leaderVersion the version of the leader record that names this process
    * @param now monotonic time, in milliseconds
--- a/src/autoscaling/shard-balancing.ts
+++ b/src/autoscaling/shard-balancing.ts
@@ -33,7 +33,7 @@
 
 /**
  * Chooses idle machines of another shard that are suitable for the shortage; null if there are none. A transfer is
- * preferred to a rental, however recently the machines have become idle.
+ * preferred to a rental, so the machines need not have been idle for the idle wait.
  */
 export function chooseMachineTransfer(
   view: ScalingView,
