--- a/src/autoscaling/removal-selection.ts
+++ b/src/autoscaling/removal-selection.ts
@@ -1,35 +1,38 @@
-/** Which machines to return: those that are empty over the idle wait, and those that are lost for good. Pure. */
+/** Selects machines to return: idle for longer than the idle wait, lost, quarantined or failed to boot. Pure. */
 import type { MachineSummary } from "../peers/peer-messages.js";
-import { usualBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
+import { typicalBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
 import { MIN_EMPTY_HEARTBEATS } from "./shard-balancing.js";
 
-/** Machines of one shard that are to be drained. */
+/** Machines of one shard to be drained. */
 export interface MachineSelection {
   shard: number;
   hosts: string[];
 }
 
 /**
- * A machine is returned after so many usual boot times, and a lease in which its worker may still be looking for its
- * owner: it may never come up.
+ * A machine that is still booting after this many typical boot times plus one lease is considered failed and returned.
+ * During that lease, the worker of a machine that has booted may still be trying controllers to find its owner.
  */
 const FAILED_BOOT_FACTOR = 4;
 
-/** An empty machine is worth keeping for as long as getting another would take, if work came at all: half of that. */
+/**
+ * The default idle wait, as a fraction of the typical boot time. Keeping an idle machine pays off for as long as a
+ * replacement would take to boot, if work arrives; half of that accounts for the case that none does.
+ */
 const IDLE_WAIT_BOOT_FRACTION = 0.5;
 
-/** The machines to be drained, by shard. */
+/** Selects the machines to be drained, by shard; shards that have not recovered are skipped. */
 export function selectForRemoval(view: ScalingView, types: MachineTypes): MachineSelection[] {
   const selections: MachineSelection[] = [];
   const machinesByHost = new Map(view.machines.map((machine) => [machine.host, machine]));
   for (const [shard, summary] of view.summaries.entries()) {
     if (!summary?.recovered) continue;
-    const ownerCutOff = isOwnerCutOff(summary.machines);
+    const isOwnerPartitioned = isLikelyPartitioned(summary.machines);
     const hosts = summary.machines
       .filter((reported) => {
         const machine = machinesByHost.get(reported.host);
         if (machine === undefined || machine.draining) return false;
-        return isRemovable(reported, machine, ownerCutOff, view, types);
+        return isRemovable(reported, machine, isOwnerPartitioned, view, types);
       })
       .map(({ host }) => host);
     if (hosts.length > 0) selections.push({ shard, hosts });
@@ -40,7 +43,7 @@
 function isRemovable(
   reported: MachineSummary,
   machine: RentedMachine,
-  ownerCutOff: boolean,
+  isOwnerPartitioned: boolean,
   view: ScalingView,
   types: MachineTypes,
 ): boolean {
@@ -49,11 +52,11 @@
       return isIdleForTooLong(reported, machine, view, types);
     case "quarantined":
       return true;
-    // Guards against returning what has just been transferred: its rental is long ago, and no heartbeat of it has reached
-    // its new owner yet.
+    // Uses the time in this state instead of the machine's age: one just transferred may have been rented long ago, and
+    // its new owner has received no heartbeat from it yet.
     case "lease_expired":
     case "awaiting_heartbeat":
-      return !ownerCutOff && reported.stateForMs >= view.leaseMs;
+      return !isOwnerPartitioned && reported.stateForMs >= view.leaseMs;
     case "booting":
       return hasBootFailed(machine, view, types);
     case "busy":
@@ -68,17 +71,17 @@
   view: ScalingView,
   types: MachineTypes,
 ): boolean {
-  const idleWaitMs = view.caps.idleWaitMs ?? IDLE_WAIT_BOOT_FRACTION * usualBootMs(machine, types);
+  const idleWaitMs = view.caps.idleWaitMs ?? IDLE_WAIT_BOOT_FRACTION * typicalBootMs(machine, types);
   return reported.stateForMs >= idleWaitMs && reported.emptyHeartbeats >= MIN_EMPTY_HEARTBEATS;
 }
 
 function hasBootFailed(machine: RentedMachine, view: ScalingView, types: MachineTypes): boolean {
-  const longestBootMs = FAILED_BOOT_FACTOR * usualBootMs(machine, types) + view.leaseMs;
-  return view.wallNow - machine.since >= longestBootMs;
+  const maxBootMs = FAILED_BOOT_FACTOR * typicalBootMs(machine, types) + view.leaseMs;
+  return view.wallNow - machine.since >= maxBootMs;
 }
 
-/** Guards against returning a whole fleet because its heartbeats do not reach their owner. */
-function isOwnerCutOff(machines: MachineSummary[]): boolean {
+/** Whether more leases have expired than machines are reachable; prevents returning a fleet cut off from its owner. */
+function isLikelyPartitioned(machines: MachineSummary[]): boolean {
   const expired = machines.filter(({ state }) => state === "lease_expired").length;
   const reachable = machines.filter(
     ({ state }) => state === "idle" || state === "busy" || state === "quarantined",
