--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -76,9 +76,9 @@
     const cloud = { link: "cloud" as const, isRefusal: isCloudUnavailable, sink, clock };
     return {
       clock,
-      state: new ObservedJsonClient(network.state, { ...state, timed: true }),
-      watches: new ObservedJsonClient(network.watches, { ...state, timed: false }),
-      cloud: new ObservedJsonClient(network.cloud, { ...cloud, timed: false }),
+      state: new ObservedJsonClient(network.state, { ...state, isLatencyMeaningful: true }),
+      watches: new ObservedJsonClient(network.watches, { ...state, isLatencyMeaningful: false }),
+      cloud: new ObservedJsonClient(network.cloud, { ...cloud, isLatencyMeaningful: false }),
       peers: new ObservedPeerNetwork(network.peers, sink),
     };
   }
@@ -175,7 +175,7 @@
     // A worker that gets no answer sends its heartbeat to another controller after its time-out.
     misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.heartbeatIntervalMs,
     maxMachines,
-    usersSilentMs: SILENT_HEALTH_CHECKS * HEALTH_CHECK_S * 1000,
+    usersSilenceMs: SILENT_HEALTH_CHECKS * HEALTH_CHECK_S * 1000,
     clock,
   };
 }
--- a/src/links/backoff.ts
+++ b/src/links/backoff.ts
@@ -2,12 +2,12 @@
 
 /** Timings of a back-off, in milliseconds. */
 export interface BackoffTimings {
-  firstMs: number;
-  boundMs: number;
+  initialMs: number;
+  maxMs: number;
 }
 
 interface Attempt {
-  at: number;
+  attemptedAt: number;
   waitMs: number;
 }
 
@@ -18,16 +18,19 @@
   constructor(private readonly timings: BackoffTimings) {}
 
   /** Whether the wait since the last attempt is over. */
-  mayTry(key: Key, now: number): boolean {
+  canAttempt(key: Key, now: number): boolean {
     const last = this.attempts.get(key);
-    return last === undefined || now - last.at >= last.waitMs;
+    return last === undefined || now - last.attemptedAt >= last.waitMs;
   }
 
   /** Notes an attempt, after which the next waits longer. */
   recordAttempt(key: Key, now: number): void {
     const last = this.attempts.get(key);
-    const { firstMs, boundMs } = this.timings;
-    const lapsed = last === undefined || now - last.at >= 2 * last.waitMs + firstMs;
-    this.attempts.set(key, { at: now, waitMs: lapsed ? firstMs : Math.min(boundMs, 2 * last.waitMs) });
+    const { initialMs, maxMs } = this.timings;
+    const hasExpired = last === undefined || now - last.attemptedAt >= 2 * last.waitMs + initialMs;
+    this.attempts.set(key, {
+      attemptedAt: now,
+      waitMs: hasExpired ? initialMs : Math.min(maxMs, 2 * last.waitMs),
+    });
   }
 }
--- a/src/links/degradation-policy-table.ts
+++ b/src/links/degradation-policy-table.ts
@@ -3,12 +3,12 @@
   ACTIVITIES,
   LOSSES,
   NORMAL_RULES,
-  RULES_WITHOUT,
+  RULES_BY_LOSS,
   type Loss,
   type Rule,
 } from "./degradation-policy.js";
 
-const NAMES: Record<Loss, string> = {
+const LOSS_LABELS: Record<Loss, string> = {
   state: "state service, for this controller",
   state_for_all: "state service, for all",
   workers: "workers",
@@ -17,26 +17,26 @@
   users: "users",
 };
 
-const cell = ({ decision, proof }: Rule): string =>
+const formatRule = ({ decision, proof }: Rule): string =>
   proof === "none" ? decision : `${decision} (${proof.replaceAll("_", " ")})`;
 
-function line(cells: string[]): string {
+function formatRow(cells: string[]): string {
   return `| ${cells.join(" | ")} |`;
 }
 
 /** The table as Markdown: what a single loss changes; an empty cell is as in the first row. */
 export function policyTable(): string {
   const rows = [
-    line(["lost", ...ACTIVITIES]),
-    line(["---", ...ACTIVITIES.map(() => "---")]),
-    line(["nothing", ...ACTIVITIES.map((activity) => cell(NORMAL_RULES[activity]))]),
+    formatRow(["lost", ...ACTIVITIES]),
+    formatRow(["---", ...ACTIVITIES.map(() => "---")]),
+    formatRow(["nothing", ...ACTIVITIES.map((activity) => formatRule(NORMAL_RULES[activity]))]),
   ];
   for (const loss of LOSSES) {
     const cells = ACTIVITIES.map((activity) => {
-      const rule = RULES_WITHOUT[loss][activity];
-      return rule === undefined ? "" : cell(rule);
+      const rule = RULES_BY_LOSS[loss][activity];
+      return rule === undefined ? "" : formatRule(rule);
     });
-    rows.push(line([NAMES[loss], ...cells]));
+    rows.push(formatRow([LOSS_LABELS[loss], ...cells]));
   }
   return rows.join("\n");
 }
--- a/src/links/degradation-policy.ts
+++ b/src/links/degradation-policy.ts
@@ -76,28 +76,28 @@
   lead: allowed("held_lease"),
 };
 
-const UNRECORDABLE = "the state service is not reached, so nothing can be recorded";
+const STATE_SERVICE_UNREACHED = "the state service is not reached, so nothing can be recorded";
 
 /** What changes with one loss; all else is as in `NORMAL_RULES`. */
-export const RULES_WITHOUT: Record<Loss, Partial<Rules>> = {
+export const RULES_BY_LOSS: Record<Loss, Partial<Rules>> = {
   state: {
-    accept: delegated("recorded", UNRECORDABLE),
-    cancel: delegated("recorded", UNRECORDABLE),
+    accept: delegated("recorded", STATE_SERVICE_UNREACHED),
+    cancel: delegated("recorded", STATE_SERVICE_UNREACHED),
     poll: delegated("fresh_read", "records cannot be read"),
     start: refused("a cancellation or a change of owner would not be seen"),
     stop: refused("what is stopped to make room could not be started again"),
-    order: refused(UNRECORDABLE),
-    return: refused(UNRECORDABLE),
-    move: refused(UNRECORDABLE),
+    order: refused(STATE_SERVICE_UNREACHED),
+    return: refused(STATE_SERVICE_UNREACHED),
+    move: refused(STATE_SERVICE_UNREACHED),
   },
   // Nobody can confirm a cancellation or take a shard over meanwhile, so that the lease is proof enough for starts.
   state_for_all: {
     accept: refused("the state service is down for all"),
     cancel: refused("the state service is down for all"),
     poll: refused("the state service is down for all"),
-    order: refused(UNRECORDABLE),
-    return: refused(UNRECORDABLE),
-    move: refused(UNRECORDABLE),
+    order: refused(STATE_SERVICE_UNREACHED),
+    return: refused(STATE_SERVICE_UNREACHED),
+    move: refused(STATE_SERVICE_UNREACHED),
   },
   workers: {
     start: refused("workers are not reached, or their reports do not arrive"),
@@ -119,27 +119,27 @@
 const STRICTNESS: Record<Decision, number> = { allowed: 0, delegated: 1, refused: 2 };
 
 /** The rules for a set of losses: the strictest of each. `alone`: there is no peer to pass anything to. */
-export function rulesWithout(lost: ReadonlySet<Loss>, alone = lost.has("peers")): Rules {
+export function rulesForLosses(lost: ReadonlySet<Loss>, hasNoPeers = lost.has("peers")): Rules {
   const rules = { ...NORMAL_RULES };
   for (const loss of LOSSES) {
     if (!lost.has(loss)) continue;
     for (const activity of ACTIVITIES) {
-      const rule = RULES_WITHOUT[loss][activity];
+      const rule = RULES_BY_LOSS[loss][activity];
       if (rule !== undefined && STRICTNESS[rule.decision] > STRICTNESS[rules[activity].decision])
         rules[activity] = rule;
     }
   }
-  return alone ? withoutDelegation(rules) : rules;
+  return hasNoPeers ? refuseDelegated(rules) : rules;
 }
 
 /** Without peers there is nobody to pass anything to. A leader then stays: nobody is known to do better. */
-function withoutDelegation(rules: Rules): Rules {
-  const alone = { ...rules };
+function refuseDelegated(rules: Rules): Rules {
+  const effective = { ...rules };
   for (const activity of ACTIVITIES) {
-    const rule = alone[activity];
+    const rule = effective[activity];
     if (rule.decision !== "delegated") continue;
-    alone[activity] =
+    effective[activity] =
       activity === "lead" ? NORMAL_RULES.lead : refused(`${rule.reason}, and no peer is reached`);
   }
-  return alone;
+  return effective;
 }
--- a/src/links/degradation-state.ts
+++ b/src/links/degradation-state.ts
@@ -1,6 +1,6 @@
 /** Which links count as lost right now, and the degradation rules that follow. */
 import type { Logger } from "../runtime/log.js";
-import { ACTIVITIES, NORMAL_RULES, rulesWithout, type Loss, type Rules } from "./degradation-policy.js";
+import { ACTIVITIES, NORMAL_RULES, rulesForLosses, type Loss, type Rules } from "./degradation-policy.js";
 import type { LinkTable } from "./link-table.js";
 import { peerLink, type LinkName } from "./model.js";
 import type { MonitorMode } from "./settings.js";
@@ -35,11 +35,11 @@
   update(): void {
     const { peers, mode, log } = this.dependencies;
     const losses = this.detectLosses();
-    const unchanged =
+    const isUnchanged =
       losses.size === this.currentLosses.size && [...losses].every((loss) => this.currentLosses.has(loss));
-    if (unchanged) return;
+    if (isUnchanged) return;
     this.currentLosses = losses;
-    this.currentRules = rulesWithout(losses, losses.has("peers") || peers.length === 0);
+    this.currentRules = rulesForLosses(losses, losses.has("peers") || peers.length === 0);
     const restricted = ACTIVITIES.filter((activity) => this.currentRules[activity].decision !== "allowed");
     log.info({ lost: [...losses], restricted, mode }, "degradation policy changed");
   }
@@ -47,8 +47,8 @@
   private detectLosses(): Set<Loss> {
     const { table, peers } = this.dependencies;
     const losses = new Set<Loss>();
-    const state = [table.diagnosis("state", "outbound"), table.diagnosis("state", "inbound")];
-    const stateDown = state.find((direction) => direction.state === "down");
+    const stateDiagnoses = [table.diagnosis("state", "outbound"), table.diagnosis("state", "inbound")];
+    const stateDown = stateDiagnoses.find((direction) => direction.state === "down");
     if (stateDown !== undefined) losses.add(stateDown.scope === "everyone" ? "state_for_all" : "state");
     for (const link of ["workers", "cloud", "users"] as const) if (this.isDown(link)) losses.add(link);
     if (peers.length > 0 && peers.every((node) => this.isDown(peerLink(node)))) losses.add("peers");
--- a/src/links/direction-track.ts
+++ b/src/links/direction-tracker.ts
@@ -9,20 +9,26 @@
 const MIN_FAILURES = 2;
 
 /** How much one answer moves the share of slow ones. */
-const SLOW_WEIGHT = 0.2;
-const SLOW_ABOVE = 0.6;
-const SLOW_BELOW = 0.3;
+const SLOW_AVERAGE_WEIGHT = 0.2;
+const SLOW_ENTER_FRACTION = 0.6;
+const SLOW_EXIT_FRACTION = 0.3;
 
 /** Timings that one track goes by. */
-export type TrackTimings = Pick<
+export type TrackerTimings = Pick<
   LinkTimings,
-  "downAfterMs" | "recoverMs" | "recoverBoundMs" | "flapWindowMs" | "quietMs" | "forgetMs" | "slowMs"
+  | "downAfterMs"
+  | "recoverMs"
+  | "maxRecoverMs"
+  | "flapWindowMs"
+  | "quietMs"
+  | "downExpiryMs"
+  | "slowThresholdMs"
 >;
 
 /** A run of failures without a success in between. */
 interface FailureRun {
-  since: number;
-  last: number;
+  startedAt: number;
+  lastAt: number;
   count: number;
   cause: FailureCause;
 }
@@ -34,60 +40,60 @@
 }
 
 /** Collects evidence and derives a state from it, with hysteresis. */
-export class DirectionTrack {
+export class DirectionTracker {
   state: LinkState = "unknown";
   evidence: Evidence = "no_traffic";
   private deliveredAt = -Infinity;
   /** Since when nothing has failed. */
-  private cleanSince = -Infinity;
+  private failureFreeSince = -Infinity;
   private failures: FailureRun | null = null;
-  private slowShare = 0;
+  private slowFraction = 0;
   private slow = false;
   /** When this was last down. */
-  private downUntil = -Infinity;
+  private lastDownAt = -Infinity;
   /** How many times in a row it has gone down soon after a recovery. */
-  private flaps = 0;
-  private wasDown = false;
+  private flapCount = 0;
+  private hasBeenDown = false;
 
-  constructor(private readonly timings: TrackTimings) {}
+  constructor(private readonly timings: TrackerTimings) {}
 
   /** Traffic passed. */
-  delivered(now: number): void {
+  recordDelivery(now: number): void {
     if (this.failures !== null) {
       this.failures = null;
-      this.cleanSince = now;
+      this.failureFreeSince = now;
     }
     this.deliveredAt = now;
   }
 
   /** An answer came, after so long. */
-  answered(now: number, latencyMs: number): void {
-    this.delivered(now);
-    const slow = latencyMs > this.timings.slowMs ? 1 : 0;
-    this.slowShare += SLOW_WEIGHT * (slow - this.slowShare);
-    if (this.slowShare > SLOW_ABOVE) this.slow = true;
-    if (this.slowShare < SLOW_BELOW) this.slow = false;
+  recordAnswer(now: number, latencyMs: number): void {
+    this.recordDelivery(now);
+    const slow = latencyMs > this.timings.slowThresholdMs ? 1 : 0;
+    this.slowFraction += SLOW_AVERAGE_WEIGHT * (slow - this.slowFraction);
+    if (this.slowFraction > SLOW_ENTER_FRACTION) this.slow = true;
+    if (this.slowFraction < SLOW_EXIT_FRACTION) this.slow = false;
   }
 
   /** Traffic was lost or refused; `since` tells when it should have passed, if that was earlier. */
-  failed(now: number, cause: FailureCause, since = now): void {
-    if (this.failures === null) this.failures = { since, last: now, count: 1, cause };
+  recordFailure(now: number, cause: FailureCause, since = now): void {
+    if (this.failures === null) this.failures = { startedAt: since, lastAt: now, count: 1, cause };
     else {
       this.failures.count++;
-      this.failures.last = now;
+      this.failures.lastAt = now;
       this.failures.cause = cause;
     }
   }
 
   /** What was missed so far may be this process's own delay: only what fails from now on counts. */
-  forgetFailures(now: number): void {
+  clearFailures(now: number): void {
     if (this.failures === null) return;
     this.failures = null;
-    this.cleanSince = now;
+    this.failureFreeSince = now;
   }
 
   /** Whether nothing has been learned for half of the time after which the state is unknown: time for a probe. */
-  wantsProbe(now: number): boolean {
+  needsProbe(now: number): boolean {
     return now - this.lastEvidenceAt >= this.timings.quietMs / 2;
   }
 
@@ -97,10 +103,10 @@
   }
 
   /** Derives the state from the evidence so far; true where it has changed. */
-  review(now: number): boolean {
+  evaluate(now: number): boolean {
     const { state, evidence } = this.assess(now);
     if (state === "down" && this.state !== "down") this.enterDown(now);
-    if (state === "down") this.downUntil = now;
+    if (state === "down") this.lastDownAt = now;
     const changed = state !== this.state;
     this.state = state;
     this.evidence = evidence;
@@ -108,52 +114,53 @@
   }
 
   /** Whether it fails now, or did lately. */
-  get inDoubt(): boolean {
-    return this.failures !== null || this.wasDown;
+  get isFailingOrRecovering(): boolean {
+    return this.failures !== null || this.hasBeenDown;
   }
 
   /** How long it must work without a failure to count as up again. */
-  get recoveryMs(): number {
-    return Math.min(this.timings.recoverBoundMs, this.timings.recoverMs * 2 ** this.flaps);
+  get requiredRecoveryMs(): number {
+    return Math.min(this.timings.maxRecoverMs, this.timings.recoverMs * 2 ** this.flapCount);
   }
 
   private get lastEvidenceAt(): number {
-    return Math.max(this.deliveredAt, this.failures?.last ?? -Infinity);
+    return Math.max(this.deliveredAt, this.failures?.lastAt ?? -Infinity);
   }
 
   /** Guards against work that wanders: each failure soon after a recovery makes the next recovery take longer. */
   private enterDown(now: number): void {
-    this.wasDown = true;
-    const flapping = now - this.downUntil < this.timings.flapWindowMs + this.recoveryMs;
-    if (!flapping) this.flaps = 0;
-    else if (this.recoveryMs < this.timings.recoverBoundMs) this.flaps++;
+    this.hasBeenDown = true;
+    const isFlapping = now - this.lastDownAt < this.timings.flapWindowMs + this.requiredRecoveryMs;
+    if (!isFlapping) this.flapCount = 0;
+    else if (this.requiredRecoveryMs < this.timings.maxRecoverMs) this.flapCount++;
   }
 
   private assess(now: number): Assessment {
     const sinceEvidence = now - this.lastEvidenceAt;
-    if (this.wasDown) return this.assessRecovery(now, sinceEvidence);
+    if (this.hasBeenDown) return this.assessRecovery(now, sinceEvidence);
     if (sinceEvidence >= this.timings.quietMs) return { state: "unknown", evidence: "no_traffic" };
     if (this.failures !== null) return this.assessFailures(now, this.failures);
     return this.slow ? { state: "degraded", evidence: "slow" } : { state: "up", evidence: "delivered" };
   }
 
   private assessFailures(now: number, run: FailureRun): Assessment {
-    const lasting = now - run.since >= this.timings.downAfterMs && run.count >= MIN_FAILURES;
-    return { state: lasting ? "down" : "degraded", evidence: run.cause };
+    const isSustained = now - run.startedAt >= this.timings.downAfterMs && run.count >= MIN_FAILURES;
+    return { state: isSustained ? "down" : "degraded", evidence: run.cause };
   }
 
   /** Down stays down until traffic passes, and counts as up only once it has passed for a while. */
   private assessRecovery(now: number, sinceEvidence: number): Assessment {
-    if (this.failures !== null && sinceEvidence < this.timings.forgetMs) {
+    if (this.failures !== null && sinceEvidence < this.timings.downExpiryMs) {
       const { state, evidence } = this.assessFailures(now, this.failures);
       return { state: this.state === "down" ? "down" : state, evidence };
     }
     if (sinceEvidence >= this.timings.quietMs) {
-      this.wasDown = false;
+      this.hasBeenDown = false;
       return { state: "unknown", evidence: "no_traffic" };
     }
-    if (now - this.cleanSince < this.recoveryMs) return { state: "degraded", evidence: "recovering" };
-    this.wasDown = false;
+    if (now - this.failureFreeSince < this.requiredRecoveryMs)
+      return { state: "degraded", evidence: "recovering" };
+    this.hasBeenDown = false;
     return this.slow ? { state: "degraded", evidence: "slow" } : { state: "up", evidence: "delivered" };
   }
 }
--- a/src/links/heartbeat-rate.ts
+++ b/src/links/heartbeat-rate.ts
@@ -1,9 +1,9 @@
 /** Whether workers report as often as they do while they are answered. */
 
 /** A worker that gets no answer waits for its time-out and tries others first: it comes back at a fraction of the rate. */
-const SPARSE_BELOW = 0.5;
+const SPARSE_FRACTION = 0.5;
 /** Reports are counted over so many of their intervals. */
-const WINDOW_HEARTBEATS = 3;
+const WINDOW_HEARTBEAT_INTERVALS = 3;
 
 /** Counts the reports of all workers that are expected here, over windows of time. */
 export class HeartbeatRate {
@@ -20,19 +20,19 @@
   }
 
   /** Counts anew from now on. */
-  restart(now: number): void {
+  reset(now: number): void {
     this.count = 0;
     this.isSparse = false;
     this.windowStart = now;
   }
 
   /** To be called at every tick, with the number of workers that should report. */
-  review(now: number, workers: number): void {
+  update(now: number, workerCount: number): void {
     const windowMs = now - this.windowStart;
-    if (windowMs < WINDOW_HEARTBEATS * this.heartbeatIntervalMs) return;
-    const expected = (workers * windowMs) / this.heartbeatIntervalMs;
+    if (windowMs < WINDOW_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs) return;
+    const expected = (workerCount * windowMs) / this.heartbeatIntervalMs;
     // Before the first window nothing has been counted.
-    this.isSparse = Number.isFinite(expected) && this.count < SPARSE_BELOW * expected;
+    this.isSparse = Number.isFinite(expected) && this.count < SPARSE_FRACTION * expected;
     this.count = 0;
     this.windowStart = now;
   }
--- a/src/links/link-prober.ts
+++ b/src/links/link-prober.ts
@@ -1,6 +1,6 @@
 /** Decides at every tick which links to probe, within the probe budget. */
 import type { SteadyClock } from "../runtime/clock.js";
-import type { DirectionTrack } from "./direction-track.js";
+import type { DirectionTracker } from "./direction-tracker.js";
 import type { LinkTable } from "./link-table.js";
 import { peerLink, type LinkName } from "./model.js";
 import type { PeerViews } from "./peer-views.js";
@@ -30,8 +30,8 @@
   probeLinks(): void {
     const { clock, table, budget, probe } = this.dependencies;
     const now = clock();
-    for (const { link, direction, track } of table.all())
-      if (direction === "outbound" && this.wantsProbe(link, track, now) && budget.tryAcquire(link))
+    for (const { link, direction, tracker } of table.all())
+      if (direction === "outbound" && this.needsProbe(link, tracker, now) && budget.tryAcquire(link))
         probe(link);
   }
 
@@ -39,16 +39,16 @@
    * A quiet peer is asked whether it is there, and any peer for its view while something fails here. The cloud is probed
    * only where a peer finds that it fails: the answer then says who should lead.
    */
-  private wantsProbe(link: LinkName, track: DirectionTrack, now: number): boolean {
+  private needsProbe(link: LinkName, tracker: DirectionTracker, now: number): boolean {
     const { peers, views, maxViewAgeMs, stallAwareClock } = this.dependencies;
     const peer = peers.find((node) => peerLink(node) === link);
-    if (peer !== undefined && this.isServiceInDoubt() && now - views.receivedAt(peer) >= maxViewAgeMs)
+    if (peer !== undefined && this.hasFailingService() && now - views.receivedAt(peer) >= maxViewAgeMs)
       return true;
-    if (!track.wantsProbe(stallAwareClock.now())) return false;
+    if (!tracker.needsProbe(stallAwareClock.now())) return false;
     return link !== "cloud" || views.votes("cloud", "outbound", now, -Infinity).failing.length > 0;
   }
 
-  private isServiceInDoubt(): boolean {
+  private hasFailingService(): boolean {
     for (const { link, failingSince } of this.dependencies.table.all())
       if (failingSince !== null && !link.startsWith("peer:")) return true;
     return false;
--- a/src/links/link-table.ts
+++ b/src/links/link-table.ts
@@ -1,15 +1,15 @@
 /** All links of one controller with the tracks of both their directions. */
 import type { Diagnosis } from "./diagnosis.js";
-import { DirectionTrack, type TrackTimings } from "./direction-track.js";
+import { DirectionTracker, type TrackerTimings } from "./direction-tracker.js";
 import { DIRECTIONS, peerLink, type Direction, type LinkName, type Observation } from "./model.js";
 
 /** One direction of a link and the evidence about it. */
-export interface TrackEntry {
+export interface LinkTableEntry {
   link: LinkName;
   direction: Direction;
-  track: DirectionTrack;
+  tracker: DirectionTracker;
   /** When it last changed its reported state, by the steady clock. */
-  since: number;
+  stateChangedAt: number;
   /** Since when it has been failing or recovering from that; null while it works. */
   failingSince: number | null;
   /** What is reported of it, as of the last review. */
@@ -20,20 +20,27 @@
 
 /** The tracks of all links, by link and direction. Their number is that of the controllers, not of the machines. */
 export class LinkTable {
-  private readonly entries = new Map<string, TrackEntry>();
+  private readonly entries = new Map<string, LinkTableEntry>();
 
-  constructor(peers: Iterable<string>, timings: TrackTimings, now: number) {
+  constructor(peers: Iterable<string>, timings: TrackerTimings, now: number) {
     const links: LinkName[] = ["state", "workers", "cloud", "users", ...Array.from(peers, peerLink)];
     for (const link of links)
       for (const direction of DIRECTIONS) {
-        const track = new DirectionTrack(timings);
-        const entry = { link, direction, track, since: now, failingSince: null, diagnosis: UNDIAGNOSED };
+        const tracker = new DirectionTracker(timings);
+        const entry = {
+          link,
+          direction,
+          tracker,
+          stateChangedAt: now,
+          failingSince: null,
+          diagnosis: UNDIAGNOSED,
+        };
         this.entries.set(keyOf(link, direction), entry);
       }
   }
 
   /** Both directions of all links. */
-  all(): IterableIterator<TrackEntry> {
+  all(): IterableIterator<LinkTableEntry> {
     return this.entries.values();
   }
 
@@ -43,8 +50,8 @@
   }
 
   /** Undefined for a peer that the settings do not name. */
-  track(link: LinkName, direction: Direction): DirectionTrack | undefined {
-    return this.entries.get(keyOf(link, direction))?.track;
+  tracker(link: LinkName, direction: Direction): DirectionTracker | undefined {
+    return this.entries.get(keyOf(link, direction))?.tracker;
   }
 
   /** Brings an observation to the directions that it tells of. */
@@ -52,23 +59,23 @@
     const { link } = observation;
     // Most observations are of reports: they need one look-up.
     if (observation.kind === "delivered") {
-      this.track(link, observation.direction)?.delivered(now);
+      this.tracker(link, observation.direction)?.recordDelivery(now);
       return;
     }
-    const outbound = this.track(link, "outbound");
-    const inbound = this.track(link, "inbound");
+    const outbound = this.tracker(link, "outbound");
+    const inbound = this.tracker(link, "inbound");
     switch (observation.kind) {
       case "answered":
-        outbound?.answered(now, observation.latencyMs);
-        inbound?.answered(now, observation.latencyMs);
+        outbound?.recordAnswer(now, observation.latencyMs);
+        inbound?.recordAnswer(now, observation.latencyMs);
         return;
       case "refused":
-        outbound?.failed(now, "refused");
-        inbound?.delivered(now);
+        outbound?.recordFailure(now, "refused");
+        inbound?.recordDelivery(now);
         return;
       case "unanswered":
-        outbound?.failed(now, "no_answer");
-        inbound?.failed(now, "no_answer");
+        outbound?.recordFailure(now, "no_answer");
+        inbound?.recordFailure(now, "no_answer");
         return;
     }
   }
--- a/src/links/link-view.ts
+++ b/src/links/link-view.ts
@@ -37,14 +37,14 @@
   )
   .root.lookupType("fernpond.LinkView");
 
-const name = z.string().min(1).max(MAX_NAME_LENGTH);
+const nameSchema = z.string().min(1).max(MAX_NAME_LENGTH);
 
 const viewSchema = z.object({
   version: z.int().positive(),
-  node: name,
-  incarnation: name,
+  node: nameSchema,
+  incarnation: nameSchema,
   sequence: z.int().positive(),
-  links: z.array(z.object({ link: name, direction: z.enum(DIRECTIONS), state: z.enum(LINK_STATES) })),
+  links: z.array(z.object({ link: nameSchema, direction: z.enum(DIRECTIONS), state: z.enum(LINK_STATES) })),
   misrouted: z.array(
     z.object({ shard: z.int().nonnegative(), term: z.int().nonnegative(), workers: z.int().positive() }),
   ),
@@ -76,15 +76,15 @@
 /** Decodes and checks what came with a frame. Never throws: whatever is odd about it, the frame itself still counts. */
 export function decodeView(bytes: Uint8Array): DecodedView {
   if (bytes.byteLength > MAX_VIEW_BYTES) return { ok: false, reason: "malformed" };
-  let plain: Record<string, unknown>;
+  let decoded: Record<string, unknown>;
   try {
-    plain = viewType.toObject(viewType.decode(bytes), { longs: Number, defaults: true, arrays: true });
+    decoded = viewType.toObject(viewType.decode(bytes), { longs: Number, defaults: true, arrays: true });
   } catch {
     return { ok: false, reason: "malformed" };
   }
   // Looked at first: a newer format may differ in all else.
-  if (typeof plain.version === "number" && plain.version > VIEW_VERSION)
+  if (typeof decoded.version === "number" && decoded.version > VIEW_VERSION)
     return { ok: false, reason: "unsupported_version" };
-  const checked = viewSchema.safeParse(plain);
-  return checked.success ? { ok: true, view: checked.data } : { ok: false, reason: "malformed" };
+  const parsed = viewSchema.safeParse(decoded);
+  return parsed.success ? { ok: true, view: parsed.data } : { ok: false, reason: "malformed" };
 }
--- a/src/links/misrouted-workers.ts
+++ b/src/links/misrouted-workers.ts
@@ -11,7 +11,7 @@
   workers: number;
 }
 
-interface SeenWorkers {
+interface MisroutedHosts {
   term: number;
   /** When each was last seen, the oldest first. */
   hosts: Map<string, number>;
@@ -19,19 +19,19 @@
 
 /** Counts distinct workers per shard and term within a window of time. */
 export class MisroutedWorkers {
-  private readonly lastSeen = new Map<number, SeenWorkers>();
+  private readonly lastSeen = new Map<number, MisroutedHosts>();
 
   constructor(
     private readonly windowMs: number,
     /** How many workers are remembered at the most. */
-    private readonly bound: number,
+    private readonly maxWorkersPerShard: number,
   ) {}
 
   /** A worker of the shard came here, in a term of the shard's owner. */
   record(shard: number, term: number, host: string, now: number): void {
     const seen = this.lastSeen.get(shard);
     const hosts = seen?.term === term ? seen.hosts : new Map<string, number>();
-    if (hosts.size >= this.bound && !hosts.has(host)) return;
+    if (hosts.size >= this.maxWorkersPerShard && !hosts.has(host)) return;
     // Deleted first, so that the oldest stays in front.
     hosts.delete(host);
     hosts.set(host, now);
--- a/src/links/monitor.ts
+++ b/src/links/monitor.ts
@@ -11,7 +11,7 @@
 import { diagnose } from "./diagnosis.js";
 import type { LinkPolicy } from "./link-policy.js";
 import { LinkProber } from "./link-prober.js";
-import { LinkTable, type TrackEntry } from "./link-table.js";
+import { LinkTable, type LinkTableEntry } from "./link-table.js";
 import type { ViewRejection } from "./link-view.js";
 import { MisroutedWorkers } from "./misrouted-workers.js";
 import { peerLink, type DirectionReport, type LinkName, type Observation } from "./model.js";
@@ -47,12 +47,12 @@
   peers: string[];
   mode: Exclude<MonitorMode, "off">;
   timings: LinkTimings;
-  probes: Omit<ProbeRates, "peerSpacingMs">;
+  probes: Omit<ProbeRates, "minPeerIntervalMs">;
   /** How long a worker that turned elsewhere counts as misrouted. */
   misroutedWindowMs: number;
   maxMachines: number;
   /** Without a health check for so long, the users' load balancer counts as silent; milliseconds. */
-  usersSilentMs: number;
+  usersSilenceMs: number;
   clock: SteadyClock;
 }
 
@@ -75,22 +75,28 @@
     log: Logger,
   ) {
     super(log);
-    const { node, incarnation, clock, timings, peers, probes, mode, usersSilentMs } = options;
-    const { viewSpacingMs } = timings;
+    const { node, incarnation, clock, timings, peers, probes, mode, usersSilenceMs } = options;
+    const { minViewIntervalMs } = timings;
     const stallAwareClock = (this.stallAwareClock = new StallAwareClock(clock, timings));
     const table = (this.table = new LinkTable(peers, timings, clock()));
     const views = (this.views = new PeerViews(new Set(peers), timings.viewTtlMs));
     const misrouted = (this.misrouted = new MisroutedWorkers(options.misroutedWindowMs, options.maxMachines));
     const watched = { clock, stallAwareClock, table };
-    this.viewSender = new ViewSender({ ...watched, node, incarnation, misrouted, spacingMs: viewSpacingMs });
-    this.silence = new SilenceDetector({ ...watched, views, timings, usersSilentMs });
+    this.viewSender = new ViewSender({
+      ...watched,
+      node,
+      incarnation,
+      misrouted,
+      minIntervalMs: minViewIntervalMs,
+    });
+    this.silence = new SilenceDetector({ ...watched, views, timings, usersSilenceMs });
     this.degradation = new DegradationState({ table, peers, mode, log });
     this.prober = new LinkProber({
       ...watched,
       views,
-      budget: new ProbeBudget({ ...probes, peerSpacingMs: 2 * viewSpacingMs }, clock),
+      budget: new ProbeBudget({ ...probes, minPeerIntervalMs: 2 * minViewIntervalMs }, clock),
       peers,
-      maxViewAgeMs: 2 * viewSpacingMs,
+      maxViewAgeMs: 2 * minViewIntervalMs,
       probe: (link) => {
         callbacks.probe(link);
       },
@@ -98,35 +104,35 @@
     this.remediation = new RemediationRunner({ clock, table, views, timings, callbacks, log });
   }
 
-  private get enforces(): boolean {
+  private get isEnforcing(): boolean {
     return this.options.mode === "enforce";
   }
 
   /** Whether the policy lets this controller do something itself now. */
   allows(activity: Activity): boolean {
-    return !this.enforces || this.degradation.rules[activity].decision === "allowed";
+    return !this.isEnforcing || this.degradation.rules[activity].decision === "allowed";
   }
 
   /** Whether the policy keeps an activity from being passed on to peers: nobody would do better. */
   refuses(activity: Activity): boolean {
-    return this.enforces && this.degradation.rules[activity].decision === "refused";
+    return this.isEnforcing && this.degradation.rules[activity].decision === "refused";
   }
 
   /** Whether a shard may be handed over again for the sake of its workers; asking counts as an attempt. */
   tryHandOver(shard: number): boolean {
-    return !this.enforces || this.remediation.tryHandOver(shard);
+    return !this.isEnforcing || this.remediation.tryHandOver(shard);
   }
 
   /** Whether a peer, by its latest view, receives no heartbeats: shards are better off elsewhere. */
   isCutOffFromWorkers(node: string): boolean {
-    if (!this.enforces) return false;
-    const view = this.views.of(node, this.options.clock());
+    if (!this.isEnforcing) return false;
+    const view = this.views.currentOf(node, this.options.clock());
     return view !== undefined && hasLostWorkers(view);
   }
 
   /** The view to attach to a frame to a peer, if it is time for one. */
   outgoing(node: string): Uint8Array | undefined {
-    return this.viewSender.outgoing(node);
+    return this.viewSender.nextViewFor(node);
   }
 
   /** Takes a view that came with a frame, and returns the node that it is from; null where it is dropped. */
@@ -173,7 +179,7 @@
     if (observation.kind === "delivered" && observation.link === "workers") {
       if (observation.direction === "inbound") this.silence.recordHeartbeat();
       // A worker shows a token that it took long ago: whether responses still reach it has to show by its staying here.
-      else if (this.silence.responsesLost) return;
+      else if (this.silence.hasLostResponses) return;
     }
     this.table.observe(observation, this.stallAwareClock.now());
   }
@@ -181,11 +187,11 @@
   private tick(): void {
     this.stallAwareClock.tick();
     const shards = this.callbacks.ownedShards();
-    if (this.stallAwareClock.isDelayed) this.silence.restart();
+    if (this.stallAwareClock.isDelayed) this.silence.reset();
     else this.silence.check(shards);
     this.reviewLinks(shards);
     this.prober.probeLinks();
-    if (this.enforces) this.remediation.run(shards);
+    if (this.isEnforcing) this.remediation.run(shards);
   }
 
   private recordDroppedView(reason: ViewRejection): void {
@@ -200,16 +206,16 @@
     const now = this.stallAwareClock.now();
     for (const entry of this.table.all()) {
       const before = entry.diagnosis.state;
-      entry.track.review(now);
-      if (!entry.track.inDoubt) entry.failingSince = null;
+      entry.tracker.evaluate(now);
+      if (!entry.tracker.isFailingOrRecovering) entry.failingSince = null;
       else entry.failingSince ??= this.options.clock();
-      const { link, direction, track } = entry;
+      const { link, direction, tracker } = entry;
       entry.diagnosis = diagnose({
         link,
         direction,
-        state: track.state,
-        evidence: track.evidence,
-        stalled: this.stallAwareClock.isDelayed,
+        state: tracker.state,
+        evidence: tracker.evidence,
+        isStalled: this.stallAwareClock.isDelayed,
         votes: this.votesFor(entry, shards),
       });
       if (entry.diagnosis.state !== before) this.logTransition(entry, before);
@@ -221,7 +227,7 @@
    * Only views from after a failure began say whether it is one for all. Peers' workers are others than ours: what counts
    * there is whether ours turn to them.
    */
-  private votesFor({ link, direction, failingSince }: TrackEntry, shards: OwnedShardStatus[]): Votes {
+  private votesFor({ link, direction, failingSince }: LinkTableEntry, shards: OwnedShardStatus[]): Votes {
     const now = this.options.clock();
     if (link !== "workers") return this.views.votes(link, direction, now, failingSince ?? -Infinity);
     const reachedBy = this.views
@@ -230,18 +236,18 @@
     return { working: reachedBy.map((view) => view.node), failing: [] };
   }
 
-  private logTransition(entry: TrackEntry, from: string): void {
+  private logTransition(entry: LinkTableEntry, from: string): void {
     const { state, evidence, scope } = entry.diagnosis;
     const now = this.options.clock();
-    const afterMs = Math.round(now - entry.since);
-    entry.since = now;
+    const afterMs = Math.round(now - entry.stateChangedAt);
+    entry.stateChangedAt = now;
     const { link, direction } = entry;
     this.log.info({ link, direction, from, to: state, evidence, scope, afterMs }, "link state changed");
   }
 
-  private directionReport(entry: TrackEntry): DirectionReport {
+  private directionReport(entry: LinkTableEntry): DirectionReport {
     const { link, direction } = entry;
-    const forMs = this.options.clock() - entry.since;
+    const forMs = this.options.clock() - entry.stateChangedAt;
     return { link, direction, forMs, ...entry.diagnosis };
   }
 }
--- a/src/links/observed-json-client.ts
+++ b/src/links/observed-json-client.ts
@@ -3,20 +3,20 @@
 import { NoResponseError, type JsonResponse, type JsonClient } from "../runtime/json-client.js";
 import type { LinkName, ObservationSink } from "./model.js";
 
-const UNAVAILABLE = 503;
+const HTTP_UNAVAILABLE = 503;
 
 /** A time-out that fires so many times later than it should shows that this process was busy: the answer may be there. */
-const LATE_TIMEOUT = 1.25;
+const LATE_TIMEOUT_RATIO = 1.25;
 
 /** Whether an answer says that the service will not serve. */
 export type RefusalCheck = (answer: JsonResponse) => boolean;
 
 /** The state service refuses with 503 and does not execute the request. */
-export const isUnavailable: RefusalCheck = ({ status }) => status === UNAVAILABLE;
+export const isUnavailable: RefusalCheck = ({ status }) => status === HTTP_UNAVAILABLE;
 
 /** A cloud without capacity answers with the same status as one in trouble; it works all the same. */
 export const isCloudUnavailable: RefusalCheck = ({ status, body }) =>
-  status === UNAVAILABLE && (body as { error?: unknown } | undefined)?.error !== "no capacity";
+  status === HTTP_UNAVAILABLE && (body as { error?: unknown } | undefined)?.error !== "no capacity";
 
 /** What calls are watched as. */
 export interface ObservedJsonClientOptions {
@@ -25,13 +25,13 @@
   sink: ObservationSink;
   clock: SteadyClock;
   /** Whether the time that an answer takes says anything: watches stay open on purpose. */
-  timed: boolean;
+  isLatencyMeaningful: boolean;
 }
 
 /** Calls whose outcomes are reported to the monitor. */
 export class ObservedJsonClient implements JsonClient {
   constructor(
-    private readonly calls: JsonClient,
+    private readonly client: JsonClient,
     private readonly options: ObservedJsonClientOptions,
   ) {}
 
@@ -41,16 +41,16 @@
    * @throws NoResponseError as the observed client does
    */
   async call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
-    const { link, isRefusal: refused, sink, clock, timed } = this.options;
+    const { link, isRefusal, sink, clock, isLatencyMeaningful } = this.options;
     const sentAt = clock();
     try {
-      const answer = await this.calls.call(method, path, body, timeoutMs);
-      if (refused(answer)) sink({ kind: "refused", link });
-      else sink({ kind: "answered", link, latencyMs: timed ? clock() - sentAt : 0 });
+      const answer = await this.client.call(method, path, body, timeoutMs);
+      if (isRefusal(answer)) sink({ kind: "refused", link });
+      else sink({ kind: "answered", link, latencyMs: isLatencyMeaningful ? clock() - sentAt : 0 });
       return answer;
     } catch (err) {
-      const wasBusy = clock() - sentAt > LATE_TIMEOUT * timeoutMs;
-      if (err instanceof NoResponseError && !wasBusy) sink({ kind: "unanswered", link });
+      const isTimeoutLate = clock() - sentAt > LATE_TIMEOUT_RATIO * timeoutMs;
+      if (err instanceof NoResponseError && !isTimeoutLate) sink({ kind: "unanswered", link });
       throw err;
     }
   }
--- a/src/links/peer-views.ts
+++ b/src/links/peer-views.ts
@@ -5,7 +5,7 @@
 /** A peer's view and when it came. */
 interface ReceivedView {
   view: LinkView;
-  at: number;
+  receivedAt: number;
 }
 
 /** How many peers, by their latest views, find a link working and failing. */
@@ -15,12 +15,12 @@
 }
 
 /** Processes that have been replaced, remembered per peer: late copies of their views come seconds later at the most. */
-const REMEMBERED_INCARNATIONS = 8;
+const MAX_REPLACED_INCARNATIONS = 8;
 
 /** Takes in views, drops what cannot be believed, and counts votes. */
 export class PeerViews {
   private readonly latest = new Map<string, ReceivedView>();
-  private readonly replaced = new Map<string, string[]>();
+  private readonly replacedIncarnations = new Map<string, string[]>();
 
   constructor(
     /** The controllers that the settings name, this one not among them. */
@@ -35,27 +35,29 @@
     const { view } = decoded;
     if (!this.peers.has(view.node)) return { ok: false, reason: "unknown_node" };
     const known = this.latest.get(view.node)?.view;
-    if (this.replaced.get(view.node)?.includes(view.incarnation)) return { ok: false, reason: "outdated" };
+    if (this.replacedIncarnations.get(view.node)?.includes(view.incarnation))
+      return { ok: false, reason: "outdated" };
     if (known?.incarnation === view.incarnation) {
       if (view.sequence < known.sequence) return { ok: false, reason: "outdated" };
       if (view.sequence === known.sequence && JSON.stringify(view) !== JSON.stringify(known))
         return { ok: false, reason: "contradictory" };
-    } else if (known !== undefined) this.replace(known);
-    this.latest.set(view.node, { view, at: now });
+    } else if (known !== undefined) this.rememberReplaced(known);
+    this.latest.set(view.node, { view, receivedAt: now });
     return decoded;
   }
 
   /** The views that still count. */
   current(now: number): LinkView[] {
     const views: LinkView[] = [];
-    for (const { view, at } of this.latest.values()) if (now - at <= this.ttlMs) views.push(view);
+    for (const { view, receivedAt } of this.latest.values())
+      if (now - receivedAt <= this.ttlMs) views.push(view);
     return views;
   }
 
   /** A peer's view, if it still counts. */
-  of(node: string, now: number): LinkView | undefined {
+  currentOf(node: string, now: number): LinkView | undefined {
     const received = this.latest.get(node);
-    return received !== undefined && now - received.at <= this.ttlMs ? received.view : undefined;
+    return received !== undefined && now - received.receivedAt <= this.ttlMs ? received.view : undefined;
   }
 
   /**
@@ -64,9 +66,9 @@
    */
   votes(link: LinkName, direction: Direction, now: number, since: number): Votes {
     const votes: Votes = { working: [], failing: [] };
-    for (const { view, at } of this.latest.values()) {
-      if (at < since || now - at > this.ttlMs) continue;
-      const state = stateIn(view, link, direction);
+    for (const { view, receivedAt } of this.latest.values()) {
+      if (receivedAt < since || now - receivedAt > this.ttlMs) continue;
+      const state = linkStateIn(view, link, direction);
       if (state === "up") votes.working.push(view.node);
       if (state === "down") votes.failing.push(view.node);
     }
@@ -75,16 +77,16 @@
 
   /** When the latest view of a peer came. */
   receivedAt(node: string): number {
-    return this.latest.get(node)?.at ?? -Infinity;
+    return this.latest.get(node)?.receivedAt ?? -Infinity;
   }
 
-  private replace({ node, incarnation }: LinkView): void {
-    const earlier = this.replaced.get(node) ?? [];
-    this.replaced.set(node, [...earlier, incarnation].slice(-REMEMBERED_INCARNATIONS));
+  private rememberReplaced({ node, incarnation }: LinkView): void {
+    const earlier = this.replacedIncarnations.get(node) ?? [];
+    this.replacedIncarnations.set(node, [...earlier, incarnation].slice(-MAX_REPLACED_INCARNATIONS));
   }
 }
 
 /** What a view says of one direction of a link. */
-export function stateIn(view: LinkView, link: LinkName, direction: Direction): LinkState | undefined {
+export function linkStateIn(view: LinkView, link: LinkName, direction: Direction): LinkState | undefined {
   return view.links.find((note) => note.link === link && note.direction === direction)?.state;
 }
--- a/src/links/probe-budget.ts
+++ b/src/links/probe-budget.ts
@@ -13,7 +13,7 @@
   /** The share of the cloud's rate that probes may use. */
   share: number;
   /** How often a quiet peer may be asked. */
-  peerSpacingMs: number;
+  minPeerIntervalMs: number;
 }
 
 /** Hands out the right to probe. */
@@ -33,7 +33,7 @@
     if (link === "cloud") return this.cloud.tryAcquire(1);
     if (!link.startsWith("peer:")) return false;
     const now = this.clock();
-    if (now - (this.peerProbedAt.get(link) ?? -Infinity) < this.rates.peerSpacingMs) return false;
+    if (now - (this.peerProbedAt.get(link) ?? -Infinity) < this.rates.minPeerIntervalMs) return false;
     this.peerProbedAt.set(link, now);
     return true;
   }
--- a/src/links/remediation-runner.ts
+++ b/src/links/remediation-runner.ts
@@ -34,14 +34,14 @@
   private readonly backoff: Backoff<number | typeof RESIGNATION>;
 
   constructor(private readonly dependencies: RemediationRunnerDependencies) {
-    const { moveBackoffMs, moveBackoffBoundMs } = dependencies.timings;
-    this.backoff = new Backoff({ firstMs: moveBackoffMs, boundMs: moveBackoffBoundMs });
+    const { moveBackoffMs, maxMoveBackoffMs } = dependencies.timings;
+    this.backoff = new Backoff({ initialMs: moveBackoffMs, maxMs: maxMoveBackoffMs });
   }
 
   /** Whether a shard may be handed over again for the sake of its workers; asking counts as an attempt. */
   tryHandOver(shard: number): boolean {
     const now = this.dependencies.clock();
-    if (!this.backoff.mayTry(shard, now)) return false;
+    if (!this.backoff.canAttempt(shard, now)) return false;
     this.backoff.recordAttempt(shard, now);
     return true;
   }
@@ -55,8 +55,8 @@
       shards,
       isLeader: callbacks.isLeader(),
       peers: views.current(now).filter((view) => callbacks.isMember(view.node)),
-      mayHandOver: (shard) => this.backoff.mayTry(shard, now),
-      mayResign: this.backoff.mayTry(RESIGNATION, now),
+      canHandOver: (shard) => this.backoff.canAttempt(shard, now),
+      canResign: this.backoff.canAttempt(RESIGNATION, now),
     });
     for (const remediation of remediations) this.carryOut(remediation, now);
   }
--- a/src/links/remediation.ts
+++ b/src/links/remediation.ts
@@ -1,7 +1,7 @@
 /** What a controller does of its own accord about a link that is down: pass on what a peer can do better. Pure. */
 import type { Diagnosis } from "./diagnosis.js";
 import { DIRECTIONS, type Direction, type LinkName } from "./model.js";
-import { stateIn } from "./peer-views.js";
+import { linkStateIn } from "./peer-views.js";
 import type { LinkView } from "./link-view.js";
 
 /** A step that the controller should take. */
@@ -26,31 +26,32 @@
   isLeader: boolean;
   /** Peers' views that count, of controllers that hold a membership lease. */
   peers: LinkView[];
-  mayHandOver: (shard: number) => boolean;
-  mayResign: boolean;
+  canHandOver: (shard: number) => boolean;
+  canResign: boolean;
 }
 
 /** What should be done now. */
-export function planRemediations(view: RemediationInput): Remediation[] {
+export function planRemediations(input: RemediationInput): Remediation[] {
   // Both take a write of the state service.
-  if (view.diagnosis("state", "outbound").state === "down") return [];
-  return [...planHandOvers(view), ...planResignation(view)];
+  if (input.diagnosis("state", "outbound").state === "down") return [];
+  return [...planHandOvers(input), ...planResignation(input)];
 }
 
-function isLostHereOnly(view: RemediationInput, link: LinkName, direction: Direction): boolean {
-  const { state, scope } = view.diagnosis(link, direction);
+function isDownOnlyHere(input: RemediationInput, link: LinkName, direction: Direction): boolean {
+  const { state, scope } = input.diagnosis(link, direction);
   return state === "down" && scope === "this_node";
 }
 
-function planHandOvers(view: RemediationInput): Remediation[] {
-  if (!isLostHereOnly(view, "workers", "inbound") && !isLostHereOnly(view, "workers", "outbound")) return [];
-  const remedies: Remediation[] = [];
-  for (const owned of view.shards) {
+function planHandOvers(input: RemediationInput): Remediation[] {
+  if (!isDownOnlyHere(input, "workers", "inbound") && !isDownOnlyHere(input, "workers", "outbound"))
+    return [];
+  const remediations: Remediation[] = [];
+  for (const owned of input.shards) {
     const { shard } = owned;
-    const to = bestSuccessor(view.peers, owned);
-    if (to !== null && view.mayHandOver(shard)) remedies.push({ kind: "hand_over", shard, to });
+    const to = bestSuccessor(input.peers, owned);
+    if (to !== null && input.canHandOver(shard)) remediations.push({ kind: "hand_over", shard, to });
   }
-  return remedies;
+  return remediations;
 }
 
 /** The peer to which most of the shard's workers turn, if it can record what it decides; null keeps the shard here. */
@@ -70,18 +71,19 @@
 }
 
 function canTakeShard(view: LinkView): boolean {
-  return stateIn(view, "state", "outbound") !== "down" && !hasLostWorkers(view);
+  return linkStateIn(view, "state", "outbound") !== "down" && !hasLostWorkers(view);
 }
 
 /** Whether a peer finds its workers lost, in either direction. */
 export function hasLostWorkers(view: LinkView): boolean {
-  return DIRECTIONS.some((direction) => stateIn(view, "workers", direction) === "down");
+  return DIRECTIONS.some((direction) => linkStateIn(view, "workers", direction) === "down");
 }
 
-function planResignation(view: RemediationInput): Remediation[] {
-  if (!view.isLeader || !view.mayResign || !isLostHereOnly(view, "cloud", "outbound")) return [];
-  const better = view.peers.find(
-    (peer) => stateIn(peer, "cloud", "outbound") === "up" && stateIn(peer, "state", "outbound") !== "down",
+function planResignation(input: RemediationInput): Remediation[] {
+  if (!input.isLeader || !input.canResign || !isDownOnlyHere(input, "cloud", "outbound")) return [];
+  const successor = input.peers.find(
+    (peer) =>
+      linkStateIn(peer, "cloud", "outbound") === "up" && linkStateIn(peer, "state", "outbound") !== "down",
   );
-  return better === undefined ? [] : [{ kind: "resign", betterPlaced: better.node }];
+  return successor === undefined ? [] : [{ kind: "resign", betterPlaced: successor.node }];
 }
--- a/src/links/settings.ts
+++ b/src/links/settings.ts
@@ -47,16 +47,16 @@
   downAfterMs: number;
   recoverMs: number;
   /** The longest time that a flapping link needs to recover. */
-  recoverBoundMs: number;
+  maxRecoverMs: number;
   /** A failure within this of a recovery counts as flapping. */
   flapWindowMs: number;
   quietMs: number;
   /** A direction that was down and without traffic since is unknown after this. */
-  forgetMs: number;
+  downExpiryMs: number;
   /** An answer that takes longer is slow. */
-  slowMs: number;
+  slowThresholdMs: number;
   /** The least time between two views to the same peer. */
-  viewSpacingMs: number;
+  minViewIntervalMs: number;
   /** A peer's view counts for so long. */
   viewTtlMs: number;
   /** Expected traffic is missed after so long. */
@@ -64,37 +64,38 @@
   /** A gap between two ticks of more than this shows that the process stood still. */
   stallMs: number;
   moveBackoffMs: number;
-  moveBackoffBoundMs: number;
+  maxMoveBackoffMs: number;
 }
 
 /** An answer that takes more than this part of a call's time-out is slow. */
-const SLOW_FRACTION = 0.5;
+const SLOW_TIMEOUT_FRACTION = 0.5;
 /** A worker reports within one and a quarter of its interval. */
-const SILENCE_HEARTBEATS = 1.5;
-const STALLED_TICKS = 5;
+const SILENCE_HEARTBEAT_INTERVALS = 1.5;
+const STALL_TICKS = 5;
 /** A view outlives the loss of one or two frames. */
-const VIEW_TTL_SPACINGS = 3;
+const VIEW_TTL_EXTRA_INTERVALS = 3;
 
 /** What the settings come to. */
 export function deriveLinkTimings(settings: LinkSettings, inputs: LinkTimingInputs): LinkTimings {
   const { heartbeatIntervalMs, leaseMs, callTimeoutMs, tickMs, shardMovePeriodMs } = inputs;
   const recoverMs = settings.recover_after_reports * heartbeatIntervalMs;
-  const viewSpacingMs = heartbeatIntervalMs / 2;
+  const minViewIntervalMs = heartbeatIntervalMs / 2;
   return {
     heartbeatIntervalMs,
     tickMs,
     downAfterMs: settings.down_after_reports * heartbeatIntervalMs,
     recoverMs,
-    recoverBoundMs: settings.flap_bound * recoverMs,
+    maxRecoverMs: settings.flap_bound * recoverMs,
     flapWindowMs: 2 * leaseMs,
     quietMs: settings.quiet_after_reports * heartbeatIntervalMs,
-    forgetMs: 4 * leaseMs,
-    slowMs: SLOW_FRACTION * callTimeoutMs,
-    viewSpacingMs,
-    viewTtlMs: settings.quiet_after_reports * heartbeatIntervalMs + VIEW_TTL_SPACINGS * viewSpacingMs,
-    silenceMs: SILENCE_HEARTBEATS * heartbeatIntervalMs,
-    stallMs: STALLED_TICKS * tickMs,
+    downExpiryMs: 4 * leaseMs,
+    slowThresholdMs: SLOW_TIMEOUT_FRACTION * callTimeoutMs,
+    minViewIntervalMs,
+    viewTtlMs:
+      settings.quiet_after_reports * heartbeatIntervalMs + VIEW_TTL_EXTRA_INTERVALS * minViewIntervalMs,
+    silenceMs: SILENCE_HEARTBEAT_INTERVALS * heartbeatIntervalMs,
+    stallMs: STALL_TICKS * tickMs,
     moveBackoffMs: shardMovePeriodMs,
-    moveBackoffBoundMs: settings.move_backoff_bound * shardMovePeriodMs,
+    maxMoveBackoffMs: settings.move_backoff_bound * shardMovePeriodMs,
   };
 }
--- a/src/links/silence-detector.ts
+++ b/src/links/silence-detector.ts
@@ -22,14 +22,14 @@
   readonly views: PeerViews;
   readonly timings: LinkTimings;
   /** Without a health check for so long, the users' load balancer counts as silent; milliseconds. */
-  readonly usersSilentMs: number;
+  readonly usersSilenceMs: number;
 }
 
 /** Turns missing traffic into failures of the workers' and the users' links. */
 export class SilenceDetector {
   private readonly heartbeatRate: HeartbeatRate;
   /** Whether most workers of the owned shards turn to peers, although they are answered here. */
-  private lost = false;
+  private areResponsesLost = false;
   /** Since when workers have been expected to send heartbeats. */
   private workersExpectedSince: number | null = null;
 
@@ -38,8 +38,8 @@
   }
 
   /** Whether responses to workers are found not to arrive. */
-  get responsesLost(): boolean {
-    return this.lost;
+  get hasLostResponses(): boolean {
+    return this.areResponsesLost;
   }
 
   /** A heartbeat of an owned shard's worker came in. */
@@ -48,13 +48,13 @@
   }
 
   /** While this process is late itself, missing traffic proves nothing; counting starts anew once it is in time. */
-  restart(): void {
+  reset(): void {
     const { stallAwareClock, table } = this.dependencies;
     const now = stallAwareClock.now();
-    this.lost = false;
-    this.heartbeatRate.restart(now);
-    for (const { link, track } of table.all())
-      if (link === "workers" || link === "users") track.forgetFailures(now);
+    this.areResponsesLost = false;
+    this.heartbeatRate.reset(now);
+    for (const { link, tracker } of table.all())
+      if (link === "workers" || link === "users") tracker.clearFailures(now);
   }
 
   /** Records what has been silent for too long; to be called at every tick. */
@@ -68,35 +68,35 @@
     const { stallAwareClock, table, timings } = this.dependencies;
     const now = stallAwareClock.now();
     const machines = shards.reduce((sum, shard) => sum + shard.machines, 0);
-    const elsewhere = shards.reduce((sum, shard) => sum + this.workersElsewhere(shard), 0);
-    this.heartbeatRate.review(now, machines);
+    const misrouted = shards.reduce((sum, shard) => sum + this.countMisrouted(shard), 0);
+    this.heartbeatRate.update(now, machines);
     // Late copies of heartbeats reach peers as well, but they do not keep a worker from reporting here as often as ever.
-    this.lost =
-      machines > 0 && this.heartbeatRate.isSparse && elsewhere >= LOST_RESPONSES_FRACTION * machines;
-    if (this.lost) table.track("workers", "outbound")?.failed(now, "answers_lost");
+    this.areResponsesLost =
+      machines > 0 && this.heartbeatRate.isSparse && misrouted >= LOST_RESPONSES_FRACTION * machines;
+    if (this.areResponsesLost) table.tracker("workers", "outbound")?.recordFailure(now, "answers_lost");
     if (machines === 0) this.workersExpectedSince = null;
     else this.workersExpectedSince ??= now;
     if (this.workersExpectedSince !== null)
       this.recordSilence("workers", this.workersExpectedSince, timings.silenceMs);
   }
 
-  private workersElsewhere(shard: OwnedShardStatus): number {
+  private countMisrouted(shard: OwnedShardStatus): number {
     const views = this.dependencies.views.current(this.dependencies.clock());
     return Math.max(0, ...views.map((view) => misroutedWorkersSeenBy(view, shard)));
   }
 
   /** A load balancer that has asked before is expected to go on asking. */
   private checkUsers(): void {
-    const { table, usersSilentMs } = this.dependencies;
-    const lastDeliveredAt = table.track("users", "inbound")?.lastDeliveredAt ?? -Infinity;
-    if (lastDeliveredAt !== -Infinity) this.recordSilence("users", lastDeliveredAt, usersSilentMs);
+    const { table, usersSilenceMs } = this.dependencies;
+    const lastDeliveredAt = table.tracker("users", "inbound")?.lastDeliveredAt ?? -Infinity;
+    if (lastDeliveredAt !== -Infinity) this.recordSilence("users", lastDeliveredAt, usersSilenceMs);
   }
 
-  private recordSilence(link: LinkName, expectedSince: number, silentMs: number): void {
-    const track = this.dependencies.table.track(link, "inbound");
+  private recordSilence(link: LinkName, expectedSince: number, silenceMs: number): void {
+    const tracker = this.dependencies.table.tracker(link, "inbound");
     const now = this.dependencies.stallAwareClock.now();
-    if (track === undefined) return;
-    const silentSince = Math.max(expectedSince, track.lastDeliveredAt) + silentMs;
-    if (now >= silentSince) track.failed(now, "silent", silentSince);
+    if (tracker === undefined) return;
+    const silentSince = Math.max(expectedSince, tracker.lastDeliveredAt) + silenceMs;
+    if (now >= silentSince) tracker.recordFailure(now, "silent", silentSince);
   }
 }
--- a/src/links/stall-aware-clock.ts
+++ b/src/links/stall-aware-clock.ts
@@ -6,16 +6,16 @@
 import type { LinkTimings } from "./settings.js";
 
 /** Ticks that come so many times later than they should, on average, show that the process is short of processor time. */
-const STARVED_LATENESS = 1.5;
+const STARVATION_RATIO = 1.5;
 /** How much one tick moves the average. */
-const LATENESS_WEIGHT = 0.3;
+const TICK_RATIO_WEIGHT = 0.3;
 
 /** Advances with the steady clock, but no further over a stall than a late tick takes. */
 export class StallAwareClock {
-  private awakeMs = 0;
+  private runningMs = 0;
   private lastTickAt: number;
   /** The fading mean of gaps between ticks, as a ratio to the wanted one. */
-  private lateness = 1;
+  private meanTickRatio = 1;
   private delayedUntil = -Infinity;
 
   constructor(
@@ -27,7 +27,7 @@
 
   /** The awake time now. */
   now(): number {
-    return this.awakeMs + Math.min(this.clock() - this.lastTickAt, this.timings.stallMs);
+    return this.runningMs + Math.min(this.clock() - this.lastTickAt, this.timings.stallMs);
   }
 
   /** To be called at every tick. */
@@ -35,10 +35,10 @@
     const { tickMs, stallMs, silenceMs } = this.timings;
     const now = this.clock();
     const gap = now - this.lastTickAt;
-    this.lateness += LATENESS_WEIGHT * (Math.min(gap, stallMs) / tickMs - this.lateness);
+    this.meanTickRatio += TICK_RATIO_WEIGHT * (Math.min(gap, stallMs) / tickMs - this.meanTickRatio);
     // For a while afterwards the process works off what has come meanwhile.
-    if (gap > stallMs || this.lateness > STARVED_LATENESS) this.delayedUntil = now + silenceMs;
-    this.awakeMs += Math.min(gap, stallMs);
+    if (gap > stallMs || this.meanTickRatio > STARVATION_RATIO) this.delayedUntil = now + silenceMs;
+    this.runningMs += Math.min(gap, stallMs);
     this.lastTickAt = now;
   }
 
--- a/src/links/view-sender.ts
+++ b/src/links/view-sender.ts
@@ -14,7 +14,7 @@
   readonly table: LinkTable;
   readonly misrouted: MisroutedWorkers;
   /** The least time between two views to the same peer, in milliseconds. */
-  readonly spacingMs: number;
+  readonly minIntervalMs: number;
 }
 
 /** Encodes views, each with a higher sequence number than the last. */
@@ -25,13 +25,13 @@
   constructor(private readonly dependencies: ViewSenderDependencies) {}
 
   /** The view to attach to a frame to a peer; undefined if it is not time for one yet. */
-  outgoing(peer: string): Uint8Array | undefined {
-    const { node, incarnation, clock, table, misrouted, spacingMs } = this.dependencies;
+  nextViewFor(peer: string): Uint8Array | undefined {
+    const { node, incarnation, clock, table, misrouted, minIntervalMs } = this.dependencies;
     const now = clock();
-    if (now - (this.sentAt.get(peer) ?? -Infinity) < spacingMs) return undefined;
+    if (now - (this.sentAt.get(peer) ?? -Infinity) < minIntervalMs) return undefined;
     this.sentAt.set(peer, now);
-    const links = Array.from(table.all(), ({ link, direction, track }) => {
-      const state = this.dependencies.stallAwareClock.isDelayed ? ("unknown" as const) : track.state;
+    const links = Array.from(table.all(), ({ link, direction, tracker }) => {
+      const state = this.dependencies.stallAwareClock.isDelayed ? ("unknown" as const) : tracker.state;
       return { link, direction, state };
     });
     return encodeView({
--- a/test/half-cut-simulated.test.ts
+++ b/test/half-cut-simulated.test.ts
@@ -5,7 +5,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as fc from "fast-check";
-import { playSchedule, type ScheduledFault, type ScheduledLink } from "./support/link-cuts.js";
+import { runSchedule, type ScheduledFault, type ScheduledLink } from "./support/link-cuts.js";
 import { Simulation } from "./support/simulation.js";
 import { TEAMS, work } from "./support/workload.js";
 
@@ -56,7 +56,7 @@
   try {
     await world.run(10_000);
     let over = false;
-    void playSchedule(world, schedule).then(() => (over = true));
+    void runSchedule(world, schedule).then(() => (over = true));
     await work(world, () => over);
     world.workers.copies = world.lateWrites = 0;
     world.calmSince = world.now;
--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -11,9 +11,9 @@
 const PEERS = ["b", "c", "d"];
 
 /** A monitor, a clock that counts who looks at it, and the probes that were sent. */
-function counted(machines: number, mode: "observe" | "enforce" = "enforce") {
+function createMonitor(machines: number, mode: "observe" | "enforce" = "enforce") {
   let now = 0;
-  const counts = { looks: 0, probes: [] as LinkName[] };
+  const counts = { clockReads: 0, probes: [] as LinkName[] };
   const monitor = new LinkMonitor(
     {
       node: "a",
@@ -24,9 +24,9 @@
       probes: { cloudRps: 4, controllers: 4, share: 0.02 },
       misroutedWindowMs: 8000,
       maxMachines: 10_000,
-      usersSilentMs: 5000,
+      usersSilenceMs: 5000,
       clock: () => {
-        counts.looks++;
+        counts.clockReads++;
         return now;
       },
     },
@@ -47,30 +47,30 @@
   return { monitor, counts, tick };
 }
 
-function looksOf(machines: number): { report: number; tick: number } {
-  const { monitor, counts, tick } = counted(machines);
+function countClockReads(machines: number): { report: number; tick: number } {
+  const { monitor, counts, tick } = createMonitor(machines);
   tick();
-  counts.looks = 0;
+  counts.clockReads = 0;
   for (let i = 0; i < machines; i++)
     monitor.tell({
       kind: "observed",
       observation: { kind: "delivered", link: "workers", direction: "inbound" },
     });
-  const report = counts.looks / machines;
-  counts.looks = 0;
+  const report = counts.clockReads / machines;
+  counts.clockReads = 0;
   tick();
-  return { report, tick: counts.looks };
+  return { report, tick: counts.clockReads };
 }
 
 test("a report and a tick cost the same with 4,000 machines as with ten", () => {
-  const [few, many] = [looksOf(10), looksOf(4000)];
+  const [few, many] = [countClockReads(10), countClockReads(4000)];
   assert.deepEqual(many, few);
   assert.ok(many.report <= 2, `${many.report} looks at the clock a report`);
 });
 
 test("quiet peers are asked twice in the time after which they are unknown, and an idle cloud is not asked", () => {
-  const { monitor, counts, tick } = counted(10);
-  const asked = new Map<LinkName, number>();
+  const { monitor, counts, tick } = createMonitor(10);
+  const probeCounts = new Map<LinkName, number>();
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
     tick();
     monitor.tell({ kind: "observed", observation: { kind: "answered", link: "state", latencyMs: 5 } });
@@ -81,18 +81,18 @@
     for (const link of counts.probes.splice(0)) {
       assert.notEqual(link, "cloud");
       monitor.tell({ kind: "observed", observation: { kind: "delivered", link, direction: "outbound" } });
-      asked.set(link, (asked.get(link) ?? 0) + 1);
+      probeCounts.set(link, (probeCounts.get(link) ?? 0) + 1);
     }
   }
   // Every half of four report intervals.
   for (const peer of PEERS) {
-    const count = asked.get(`peer:${peer}`) ?? 0;
+    const count = probeCounts.get(`peer:${peer}`) ?? 0;
     assert.ok(count >= 10 && count <= 60_000 / 4000 + 1, `${count} questions a minute`);
   }
 });
 
 test("a controller that finds the state service failing asks each peer at most once a report interval", () => {
-  const { monitor, counts, tick } = counted(10);
+  const { monitor, counts, tick } = createMonitor(10);
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
     tick();
     monitor.tell({ kind: "observed", observation: { kind: "refused", link: "state" } });
@@ -104,18 +104,18 @@
 });
 
 test("views go to a peer at most every half report interval, whoever asks for one", () => {
-  const { monitor, tick } = counted(10);
-  let sent = 0;
+  const { monitor, tick } = createMonitor(10);
+  let sentViews = 0;
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
     tick();
-    for (let k = 0; k < 20; k++) if (monitor.outgoing("b") !== undefined) sent++;
+    for (let k = 0; k < 20; k++) if (monitor.outgoing("b") !== undefined) sentViews++;
   }
-  assert.ok(sent <= 60_000 / (HEARTBEAT_INTERVAL_MS / 2), `${sent} views a minute`);
+  assert.ok(sentViews <= 60_000 / (HEARTBEAT_INTERVAL_MS / 2), `${sentViews} views a minute`);
 });
 
 // Fails if a monitor that only observes counts hand-overs, or keeps shards from peers.
 test("a monitor that observes restricts nothing, and shows what would be", () => {
-  const { monitor, tick } = counted(10, "observe");
+  const { monitor, tick } = createMonitor(10, "observe");
   for (let i = 0; i < 20; i++) {
     tick();
     monitor.tell({ kind: "observed", observation: { kind: "refused", link: "state" } });
--- a/test/links-properties.test.ts
+++ b/test/links-properties.test.ts
@@ -5,13 +5,13 @@
 import * as fc from "fast-check";
 import { Backoff } from "../src/links/backoff.js";
 import { diagnose } from "../src/links/diagnosis.js";
-import { DirectionTrack } from "../src/links/direction-track.js";
+import { DirectionTracker } from "../src/links/direction-tracker.js";
 import { MisroutedWorkers } from "../src/links/misrouted-workers.js";
 import { LINK_STATES, type Evidence } from "../src/links/model.js";
 import {
   ACTIVITIES,
   LOSSES,
-  rulesWithout,
+  rulesForLosses,
   type Decision,
   type Loss,
 } from "../src/links/degradation-policy.js";
@@ -35,7 +35,7 @@
 
 test("a further loss never allows more, but for leading where no peer is left to lead", () => {
   const holds = (some: Set<Loss>, more: Set<Loss>): void => {
-    const [fewer, all] = [rulesWithout(some), rulesWithout(new Set([...some, ...more]))];
+    const [fewer, all] = [rulesForLosses(some), rulesForLosses(new Set([...some, ...more]))];
     for (const activity of ACTIVITIES)
       if (activity !== "lead")
         assert.ok(STRICTNESS[all[activity].decision] >= STRICTNESS[fewer[activity].decision], activity);
@@ -45,7 +45,7 @@
 
 test("without the state service nothing is accepted, cancelled, ordered, returned or moved here, whatever else is lost", () => {
   const holds = (others: Set<Loss>, loss: Loss): void => {
-    const rules = rulesWithout(new Set([...others, loss]));
+    const rules = rulesForLosses(new Set([...others, loss]));
     for (const activity of ["accept", "cancel", "poll", "order", "return", "move"] as const)
       assert.notEqual(rules[activity].decision, "allowed", activity);
   };
@@ -54,11 +54,11 @@
 
 test("whatever is not allowed says why, and nothing is passed on to peers that are lost", () => {
   const holds = (lost: Set<Loss>): void => {
-    for (const rule of Object.values(rulesWithout(lost))) {
+    for (const rule of Object.values(rulesForLosses(lost))) {
       if (rule.decision !== "allowed") assert.notEqual(rule.reason, "");
       if (lost.has("peers")) assert.notEqual(rule.decision, "delegated");
     }
-    for (const rule of Object.values(rulesWithout(lost, true))) {
+    for (const rule of Object.values(rulesForLosses(lost, true))) {
       assert.notEqual(rule.decision, "delegated", "a controller without peers passes nothing on");
     }
   };
@@ -67,41 +67,41 @@
 
 interface Step {
   after: number;
-  what: "delivered" | "failed" | "nothing";
+  outcome: "delivered" | "failed" | "nothing";
 }
 const steps = fc.array(
   fc.record({
     after: fc.integer({ min: 1, max: 1000 }),
-    what: fc.constantFrom("delivered" as const, "failed" as const, "nothing" as const),
+    outcome: fc.constantFrom("delivered" as const, "failed" as const, "nothing" as const),
   }),
   { maxLength: 200 },
 );
 
-/** Plays traffic into a track; the answer is the time at its end. */
-function play(
-  track: DirectionTrack,
+/** Plays traffic into a tracker; the answer is the time at its end. */
+function applyTraffic(
+  tracker: DirectionTracker,
   traffic: Step[],
-  seen: (now: number, step: Step) => void = () => undefined,
+  onStep: (now: number, step: Step) => void = () => undefined,
 ): number {
   let now = 0;
   for (const step of traffic) {
     now += step.after;
-    if (step.what === "delivered") track.delivered(now);
-    if (step.what === "failed") track.failed(now, "no_answer");
-    track.review(now);
-    seen(now, step);
+    if (step.outcome === "delivered") tracker.recordDelivery(now);
+    if (step.outcome === "failed") tracker.recordFailure(now, "no_answer");
+    tracker.evaluate(now);
+    onStep(now, step);
   }
   return now;
 }
 
 test("a direction is down only after failures for long enough without a success, and never right after one", () => {
   const holds = (traffic: Step[]): void => {
-    const track = new DirectionTrack(timings);
+    const tracker = new DirectionTracker(timings);
     let failingSince: number | null = null;
-    play(track, traffic, (now, { what }) => {
-      if (what === "delivered") failingSince = null;
-      if (what === "failed") failingSince ??= now;
-      if (track.state !== "down") return;
+    applyTraffic(tracker, traffic, (now, { outcome }) => {
+      if (outcome === "delivered") failingSince = null;
+      if (outcome === "failed") failingSince ??= now;
+      if (tracker.state !== "down") return;
       assert.ok(failingSince !== null && now - failingSince >= timings.downAfterMs);
     });
   };
@@ -109,61 +109,61 @@
 });
 
 test("whatever came before, a direction that works for the bound of recovery is up, and one that fails is down", () => {
-  const steady = (what: Step["what"], ms: number): Step[] =>
-    Array.from({ length: Math.ceil(ms / 400) }, () => ({ after: 400, what }));
+  const steadyTraffic = (outcome: Step["outcome"], ms: number): Step[] =>
+    Array.from({ length: Math.ceil(ms / 400) }, () => ({ after: 400, outcome }));
   const holds = (traffic: Step[]): void => {
-    const track = new DirectionTrack(timings);
-    play(track, [...traffic, ...steady("delivered", timings.recoverBoundMs + 800)]);
-    assert.equal(track.state, "up");
-    const other = new DirectionTrack(timings);
-    play(other, [...traffic, ...steady("failed", timings.downAfterMs + 800)]);
+    const tracker = new DirectionTracker(timings);
+    applyTraffic(tracker, [...traffic, ...steadyTraffic("delivered", timings.maxRecoverMs + 800)]);
+    assert.equal(tracker.state, "up");
+    const other = new DirectionTracker(timings);
+    applyTraffic(other, [...traffic, ...steadyTraffic("failed", timings.downAfterMs + 800)]);
     assert.equal(other.state, "down");
   };
   fc.assert(fc.property(steps, holds), RUNS);
 });
 
 test("a link that flaps at the period of a lease changes state less and less often, down to the bound", () => {
-  const track = new DirectionTrack(timings);
+  const tracker = new DirectionTracker(timings);
   const LEASE_MS = 10_000;
-  const ups: number[] = [];
-  let before = track.state;
-  const flap: Step[] = Array.from({ length: 2000 }, (_, i) => ({
+  const upTransitionsAt: number[] = [];
+  let before = tracker.state;
+  const flappingTraffic: Step[] = Array.from({ length: 2000 }, (_, i) => ({
     after: 400,
-    what: Math.floor((i * 400) / (LEASE_MS / 2)) % 2 === 0 ? "delivered" : "failed",
+    outcome: Math.floor((i * 400) / (LEASE_MS / 2)) % 2 === 0 ? "delivered" : "failed",
   }));
-  play(track, flap, (now) => {
-    if (track.state === "up" && before !== "up") ups.push(now);
-    before = track.state;
+  applyTraffic(tracker, flappingTraffic, (now) => {
+    if (tracker.state === "up" && before !== "up") upTransitionsAt.push(now);
+    before = tracker.state;
   });
-  assert.ok(ups.length <= 2, `trusted ${ups.length} times in 80 leases`);
+  assert.ok(upTransitionsAt.length <= 2, `trusted ${upTransitionsAt.length} times in 80 leases`);
 });
 
 test("only silence that peers corroborate, and no stall of one's own, counts as down", () => {
-  const votes = fc.record({
+  const anyVotes = fc.record({
     working: fc.subarray(["b", "c", "d"]),
     failing: fc.subarray(["e", "f"]),
   });
-  const evidence = fc.constantFrom<Evidence>("silent", "no_answer", "refused", "answers_lost");
+  const anyEvidence = fc.constantFrom<Evidence>("silent", "no_answer", "refused", "answers_lost");
   const holds = (
     state: (typeof LINK_STATES)[number],
-    because: Evidence,
-    stalled: boolean,
-    cast: { working: string[]; failing: string[] },
+    evidence: Evidence,
+    isStalled: boolean,
+    votes: { working: string[]; failing: string[] },
   ): void => {
     const found = diagnose({
       link: "workers",
       direction: "inbound",
       state,
-      evidence: because,
-      stalled,
-      votes: cast,
+      evidence,
+      isStalled,
+      votes,
     });
-    if (stalled) assert.notEqual(found.state, "down");
-    if (because === "silent" && found.state === "down") assert.equal(found.scope, "this_node");
-    if (found.scope === "this_node") assert.ok(cast.working.length > cast.failing.length);
+    if (isStalled) assert.notEqual(found.state, "down");
+    if (evidence === "silent" && found.state === "down") assert.equal(found.scope, "this_node");
+    if (found.scope === "this_node") assert.ok(votes.working.length > votes.failing.length);
     if (state !== "down") assert.equal(found.state, state);
   };
-  fc.assert(fc.property(fc.constantFrom(...LINK_STATES), evidence, fc.boolean(), votes, holds), RUNS);
+  fc.assert(fc.property(fc.constantFrom(...LINK_STATES), anyEvidence, fc.boolean(), anyVotes, holds), RUNS);
 });
 
 const plain = { noNullPrototype: true };
@@ -213,12 +213,12 @@
 
 test("of one process no older view follows a newer one, and none of a replaced process counts", () => {
   const holds = (views: LinkView[]): void => {
-    const book = new PeerViews(new Set(["b", "c"]), 1000);
+    const peerViews = new PeerViews(new Set(["b", "c"]), 1000);
     const newest = new Map<string, number>();
     const current = new Map<string, string>();
     const replaced = new Set<string>();
     for (const sent of views) {
-      if (!book.receive(encodeView(sent), 0).ok) continue;
+      if (!peerViews.receive(encodeView(sent), 0).ok) continue;
       const process = `${sent.node}/${sent.incarnation}`;
       assert.ok(!replaced.has(process), "a replaced process is not believed");
       assert.ok(sent.sequence >= (newest.get(process) ?? 0), "no older view is believed");
@@ -232,16 +232,16 @@
 });
 
 test("hand-overs for the same cause wait twice as long each time, up to the bound", () => {
-  const backoff = new Backoff<number>({ firstMs: 30_000, boundMs: 240_000 });
-  const at: number[] = [];
+  const backoff = new Backoff<number>({ initialMs: 30_000, maxMs: 240_000 });
+  const attemptTimes: number[] = [];
   for (let now = 0; now < 2_000_000; now += 1000)
-    if (backoff.mayTry(0, now)) {
+    if (backoff.canAttempt(0, now)) {
       backoff.recordAttempt(0, now);
-      at.push(now);
+      attemptTimes.push(now);
     }
-  const waits = at.slice(1).map((time, i) => time - at[i]!);
+  const waits = attemptTimes.slice(1).map((time, i) => time - attemptTimes[i]!);
   assert.deepEqual(waits.slice(0, 5), [30_000, 60_000, 120_000, 240_000, 240_000]);
-  assert.ok(backoff.mayTry(1, 0), "another shard does not wait");
+  assert.ok(backoff.canAttempt(1, 0), "another shard does not wait");
 });
 
 test("of 4,000 workers each counts once, costs one entry, and is forgotten after the window", () => {
--- a/test/links-traces.test.ts
+++ b/test/links-traces.test.ts
@@ -23,14 +23,14 @@
   restricted?: string[];
 }
 
-const namesOf = (names: string[] = []): string => (names.length === 0 ? "nothing" : names.join(","));
+const formatNames = (names: string[] = []): string => (names.length === 0 ? "nothing" : names.join(","));
 
 class Scenario {
   private now = 0;
   private shards: { shard: number; term: number; machines: number }[] = [];
-  private leads = false;
+  private isLeader = false;
   private members = ["b", "c"];
-  private said: string[] = [];
+  private outputs: string[] = [];
   private readonly monitor: LinkMonitor;
 
   constructor() {
@@ -44,40 +44,40 @@
       probes: { cloudRps: 4, controllers: 3, share: 0.02 },
       misroutedWindowMs: 8000,
       maxMachines: 100,
-      usersSilentMs: 5000,
+      usersSilenceMs: 5000,
       clock: () => this.now,
     };
     const log = pino(
       { base: null },
       {
         write: (line) => {
-          this.note(JSON.parse(line) as LogLine);
+          this.recordLogLine(JSON.parse(line) as LogLine);
         },
       },
     );
-    const hooks = {
+    const callbacks = {
       ownedShards: () => this.shards,
-      isLeader: () => this.leads,
+      isLeader: () => this.isLeader,
       isMember: (node: string) => this.members.includes(node),
       // How often peers are asked is counted elsewhere; here it would hide what matters.
       probe: (link: LinkName) => {
-        if (link === "cloud") this.said.push("probe cloud");
+        if (link === "cloud") this.outputs.push("probe cloud");
       },
-      handOver: (shard: number, to: string) => void this.said.push(`hand over ${shard} to ${to}`),
-      resign: () => void this.said.push("resign"),
+      handOver: (shard: number, to: string) => void this.outputs.push(`hand over ${shard} to ${to}`),
+      resign: () => void this.outputs.push("resign"),
     };
-    this.monitor = new LinkMonitor(options, hooks, log);
+    this.monitor = new LinkMonitor(options, callbacks, log);
   }
 
-  private note(line: LogLine): void {
+  private recordLogLine(line: LogLine): void {
     const { msg, link, direction, from, to, evidence, scope, lost, restricted, reason } = line;
     if (msg === "link state changed")
-      this.said.push(
+      this.outputs.push(
         `${link} ${direction}: ${from} to ${to}, ${evidence}${scope === "none" ? "" : ` (${scope})`}`,
       );
     if (msg === "degradation policy changed")
-      this.said.push(`lost: ${namesOf(lost)}; restricted: ${namesOf(restricted)}`);
-    if (msg.endsWith("dropped")) this.said.push(`view dropped: ${reason}`);
+      this.outputs.push(`lost: ${formatNames(lost)}; restricted: ${formatNames(restricted)}`);
+    if (msg.endsWith("dropped")) this.outputs.push(`view dropped: ${reason}`);
   }
 
   step(event: TraceEvent): string[] {
@@ -109,7 +109,7 @@
         });
         break;
       case "leads":
-        this.leads = link !== "no";
+        this.isLeader = link !== "no";
         break;
       case "members":
         this.members = event.words;
@@ -124,7 +124,7 @@
       default:
         throw new Error(`unknown verb ${event.verb}`);
     }
-    return this.said.splice(0);
+    return this.outputs.splice(0);
   }
 
   private observe(observation: Observation): void {
@@ -137,21 +137,21 @@
     let sequence = number(event, "seq", 0);
     while (this.now < until) {
       this.now = Math.min(until, this.now + TICK_MS);
-      for (const item of traffic) this.pass(item, sequence++);
+      for (const item of traffic) this.applyTraffic(item, sequence++);
       this.monitor.tell({ kind: "tick" });
     }
   }
 
-  private pass(item: string, sequence: number): void {
-    const [what = "", ...rest] = item.split(":");
+  private applyTraffic(item: string, sequence: number): void {
+    const [outcome = "", ...rest] = item.split(":");
     const link = rest.join(":") as LinkName;
-    if (what === "ok") this.observe({ kind: "answered", link, latencyMs: 5 });
-    if (what === "slow") this.observe({ kind: "answered", link, latencyMs: 900 });
-    if (what === "refused") this.observe({ kind: "refused", link });
-    if (what === "lost") this.observe({ kind: "unanswered", link });
-    if (what === "in" || what === "out")
-      this.observe({ kind: "delivered", link, direction: what === "in" ? "inbound" : "outbound" });
-    if (what === "view") this.monitor.incoming(viewBytes(rest[0]!, sequence, rest.slice(1)));
+    if (outcome === "ok") this.observe({ kind: "answered", link, latencyMs: 5 });
+    if (outcome === "slow") this.observe({ kind: "answered", link, latencyMs: 900 });
+    if (outcome === "refused") this.observe({ kind: "refused", link });
+    if (outcome === "lost") this.observe({ kind: "unanswered", link });
+    if (outcome === "in" || outcome === "out")
+      this.observe({ kind: "delivered", link, direction: outcome === "in" ? "inbound" : "outbound" });
+    if (outcome === "view") this.monitor.incoming(viewBytes(rest[0]!, sequence, rest.slice(1)));
   }
 }
 
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -7,7 +7,7 @@
 import { join } from "node:path";
 import type { Direction, LinkState } from "../../src/links/model.js";
 import type { MonitorMode } from "../../src/links/settings.js";
-import { playSchedule, type ScheduledFault, type ScheduledLink } from "../support/link-cuts.js";
+import { runSchedule, type ScheduledFault, type ScheduledLink } from "../support/link-cuts.js";
 import { Simulation, type SimulatedNode } from "../support/simulation.js";
 import { testSettings } from "../support/settings.js";
 import { TEAMS, work } from "../support/workload.js";
@@ -64,55 +64,60 @@
   progress: Progress[];
 }
 
-function begin(seed: number, mode: MonitorMode): Simulation {
+function startSimulation(seed: number, mode: MonitorMode): Simulation {
   return Simulation.start(CONTROLLERS, seed, { teams: TEAMS, operator: { links: { mode } } });
 }
 
 /** Plays something in a deployment of its own. */
-async function inWorld<T>(
+async function withSimulation<T>(
   seed: number,
   mode: MonitorMode,
-  play: (world: Simulation) => Promise<T>,
+  run: (world: Simulation) => Promise<T>,
 ): Promise<T> {
-  const world = begin(seed, mode);
+  const world = startSimulation(seed, mode);
   try {
-    return await play(world);
+    return await run(world);
   } finally {
     world.close();
   }
 }
 
-function isIn(state: LinkState, node: SimulatedNode, link: string, direction: Direction): boolean {
+function hasLinkInState(state: LinkState, node: SimulatedNode, link: string, direction: Direction): boolean {
   const links = node.life?.controller.httpDependencies.linkStatus().links ?? [];
   return links.some((of) => of.link.startsWith(link) && of.direction === direction && of.state === state);
 }
 
 /** Report intervals until something holds; null if it never does. */
-async function reportsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
+async function reportIntervalsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
   const since = world.now;
   const happened = await world.runUntil(met, GIVE_UP_MS);
   return happened ? (world.now - since) / world.settings.workers.heartbeatIntervalMs : null;
 }
 
-function victimOf(world: Simulation, link: ScheduledLink): SimulatedNode {
+function nodeToCut(world: Simulation, link: ScheduledLink): SimulatedNode {
   return (link === "cloud" ? world.leader() : world.ownerOf(0)) ?? world.nodes[0]!;
 }
 
-async function react(seed: number, link: ScheduledLink, direction: Direction, into: Reaction): Promise<void> {
-  await inWorld(seed, "enforce", async (world) => {
+async function measureReaction(
+  seed: number,
+  link: ScheduledLink,
+  direction: Direction,
+  into: Reaction,
+): Promise<void> {
+  await withSimulation(seed, "enforce", async (world) => {
     let over = false;
     void work(world, () => over, 1000);
     await world.run(WARM_UP_MS);
-    const node = victimOf(world, link);
+    const node = nodeToCut(world, link);
     const shown = link === "peers" ? "peer:" : link;
     node.cut[link] = direction;
     const since = world.now;
-    const handled = handledBy(world, node, link);
+    const handled = takeoverCheck(world, node, link);
     const after: { shown: number | null; handled: number | null } = { shown: null, handled: null };
     // A shard that has passed on leaves no workers to be missed: what comes first ends the other's chance.
     await world.runUntil(() => {
       const reports = (world.now - since) / world.settings.workers.heartbeatIntervalMs;
-      if (isIn("down", node, shown, direction)) after.shown ??= reports;
+      if (hasLinkInState("down", node, shown, direction)) after.shown ??= reports;
       if (handled?.()) after.handled ??= reports;
       return handled === null ? after.shown !== null : after.handled !== null;
     }, GIVE_UP_MS);
@@ -120,33 +125,35 @@
     if (handled !== null) into.handled.push(after.handled);
     node.cut[link] = false;
     if (link !== "workers" && link !== "cloud")
-      into.recovered.push(await reportsUntil(world, () => isIn("up", node, shown, direction)));
+      into.recovered.push(
+        await reportIntervalsUntil(world, () => hasLinkInState("up", node, shown, direction)),
+      );
     over = true;
   });
 }
 
 /** When another does what a cut controller cannot; null where there is nothing of the kind. */
-function handledBy(world: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
+function takeoverCheck(world: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
   if (link === "state" || link === "workers") return () => world.ownerOf(0) !== node;
   if (link === "cloud") return () => world.leader() !== undefined && world.leader() !== node;
   return null;
 }
 
-async function reactions(seeds: number): Promise<Reaction[]> {
+async function measureReactions(seeds: number): Promise<Reaction[]> {
   const all: Reaction[] = [];
   for (const link of ["state", "workers", "peers", "cloud", "users"] as const)
     for (const direction of ["outbound", "inbound"] as const) {
       // Users ask and are answered on one exchange: that answers are lost, the users alone can see.
       if (link === "users" && direction === "outbound") continue;
       const reaction: Reaction = { link, direction, shown: [], handled: [], recovered: [] };
-      for (let seed = 1; seed <= seeds; seed++) await react(seed, link, direction, reaction);
+      for (let seed = 1; seed <= seeds; seed++) await measureReaction(seed, link, direction, reaction);
       all.push(reaction);
     }
   return all;
 }
 
 /** Counts how often a link goes down although none is cut. */
-async function falseAlarms(seeds: number): Promise<FalseAlarms[]> {
+async function measureFalseAlarms(seeds: number): Promise<FalseAlarms[]> {
   const MINUTES = 3;
   const overload = (world: Simulation): void => {
     world.stateLatencyMs = 400;
@@ -160,7 +167,7 @@
   ] as const) {
     const downs: Record<string, number> = {};
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, "enforce", async (world) => {
+      await withSimulation(seed, "enforce", async (world) => {
         prepare(world);
         await countDowns(world, MINUTES * 60_000, downs);
       });
@@ -195,13 +202,13 @@
   return down;
 }
 
-async function costs(seeds: number): Promise<Cost[]> {
+async function measureCosts(seeds: number): Promise<Cost[]> {
   const MINUTES = 3;
   const all: Cost[] = [];
   for (const mode of ["off", "observe", "enforce"] as const) {
     const cost: Cost = { mode, peerQuestions: 0, stateRequests: 0, cpuMs: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, mode, async (world) => {
+      await withSimulation(seed, mode, async (world) => {
         let over = false;
         void work(world, () => over, 1000);
         await world.run(WARM_UP_MS);
@@ -220,7 +227,7 @@
 }
 
 /** Cuts of one controller's link after the other, each direction, as a schedule for all modes alike. */
-function schedule(world: Simulation): ScheduledFault[] {
+function randomSchedule(world: Simulation): ScheduledFault[] {
   const faults: ScheduledFault[] = [];
   for (let i = 0; i < 6; i++) {
     const link = (["state", "workers", "cloud"] as const)[world.pick(3)]!;
@@ -230,18 +237,18 @@
   return faults;
 }
 
-async function progress(seeds: number): Promise<Progress[]> {
+async function measureProgress(seeds: number): Promise<Progress[]> {
   const all: Progress[] = [];
   for (const mode of ["off", "enforce"] as const) {
     const sum: Progress = { mode, tasksDone: 0, starts: 0, shardMoves: 0, broken: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, mode, async (world) => {
+      await withSimulation(seed, mode, async (world) => {
         await world.run(10_000);
         world.store.onChange = (change) => {
           if ("put" in change && change.put.startsWith("fernpond/live/shards/")) sum.shardMoves++;
         };
         let over = false;
-        void playSchedule(world, schedule(world)).then(() => (over = true));
+        void runSchedule(world, randomSchedule(world)).then(() => (over = true));
         await work(world, () => over, 1000);
         for (const job of world.jobs.values()) sum.tasksDone += job.completed.size;
         sum.starts += world.cloud.starts.length;
@@ -259,10 +266,10 @@
   seeds,
   reportMs,
   leaseMs,
-  reactions: await reactions(seeds),
-  falseAlarms: await falseAlarms(seeds),
-  costs: await costs(seeds),
-  progress: await progress(seeds),
+  reactions: await measureReactions(seeds),
+  falseAlarms: await measureFalseAlarms(seeds),
+  costs: await measureCosts(seeds),
+  progress: await measureProgress(seeds),
 };
 mkdirSync(folder, { recursive: true });
 writeFileSync(join(folder, "results.json"), `${JSON.stringify(measurements, null, 2)}\n`);
--- a/test/operator-interface.test.ts
+++ b/test/operator-interface.test.ts
@@ -17,7 +17,7 @@
   DECISIONS,
   LOSSES,
   NORMAL_RULES,
-  RULES_WITHOUT,
+  RULES_BY_LOSS,
 } from "../src/links/degradation-policy.js";
 import { MONITOR_MODES } from "../src/links/settings.js";
 import { statusWhileOff, type LinkStatus } from "../src/links/status.js";
@@ -53,7 +53,7 @@
   activities: ACTIVITIES,
   decisions: DECISIONS,
   normalRules: NORMAL_RULES,
-  rulesWithout: RULES_WITHOUT,
+  rulesWithout: RULES_BY_LOSS,
 };
 
 /** An answer over HTTP; the body is JSON, or the lines of a text. */
@@ -84,7 +84,7 @@
       probes: { cloudRps: 4, controllers: 3, share: 0.02 },
       misroutedWindowMs: 8000,
       maxMachines: 100,
-      usersSilentMs: 5000,
+      usersSilenceMs: 5000,
       clock: () => now,
     },
     {
--- a/test/support/link-cuts.ts
+++ b/test/support/link-cuts.ts
@@ -13,13 +13,13 @@
   | { kind: "outage"; at: number; forMs: number };
 
 /** Plays all faults of a schedule; resolves when the last is over. Cuts of one link that overlap end with the last. */
-export async function playSchedule(world: Simulation, schedule: ScheduledFault[]): Promise<void> {
-  await Promise.all(schedule.map((fault) => playFault(world, fault)));
+export async function runSchedule(world: Simulation, schedule: ScheduledFault[]): Promise<void> {
+  await Promise.all(schedule.map((fault) => runFault(world, fault)));
   for (const node of world.nodes)
     for (const link of ["state", "peers", "workers", "cloud", "users"] as const) node.cut[link] = false;
 }
 
-async function playFault(world: Simulation, fault: ScheduledFault): Promise<void> {
+async function runFault(world: Simulation, fault: ScheduledFault): Promise<void> {
   await sleep(fault.at);
   switch (fault.kind) {
     case "cut": {
