--- a/src/links/backoff.ts
+++ b/src/links/backoff.ts
@@ -1,6 +1,6 @@
-/** Waits between moves for the same cause, each longer than the last up to a bound: no shard goes to and fro. */
+/** Exponential back-off per key. It keeps a shard from moving back and forth for the same cause. */
 
-/** Timings of a back-off, in milliseconds. */
+/** Durations of a back-off, in milliseconds. */
 export interface BackoffTimings {
   initialMs: number;
   maxMs: number;
@@ -11,19 +11,22 @@
   waitMs: number;
 }
 
-/** Remembers, per key, when it may be tried again. A key that was left alone for twice its wait starts afresh. */
+/**
+ * Tracks per key when the next attempt is allowed. Each attempt doubles the wait up to `maxMs`; a key without an attempt
+ * for twice its wait plus `initialMs` starts again at `initialMs`.
+ */
 export class Backoff<Key> {
   private readonly attempts = new Map<Key, Attempt>();
 
   constructor(private readonly timings: BackoffTimings) {}
 
-  /** Whether the wait since the last attempt is over. */
+  /** Whether the wait after the last attempt is over. */
   canAttempt(key: Key, now: number): boolean {
     const last = this.attempts.get(key);
     return last === undefined || now - last.attemptedAt >= last.waitMs;
   }
 
-  /** Notes an attempt, after which the next waits longer. */
+  /** Records an attempt and doubles the wait before the next one. */
   recordAttempt(key: Key, now: number): void {
     const last = this.attempts.get(key);
     const { initialMs, maxMs } = this.timings;
--- a/src/links/degradation-policy-table.ts
+++ b/src/links/degradation-policy-table.ts
@@ -1,4 +1,4 @@
-/** The degradation policy as a table for the operators' page. */
+/** Prints the degradation policy as a table for the operators' documentation. */
 import {
   ACTIVITIES,
   LOSSES,
@@ -24,7 +24,7 @@
   return `| ${cells.join(" | ")} |`;
 }
 
-/** The table as Markdown: what a single loss changes; an empty cell is as in the first row. */
+/** Returns the policy for each single loss as a Markdown table. An empty cell means the same as in the first row. */
 export function policyTable(): string {
   const rows = [
     formatRow(["lost", ...ACTIVITIES]),
--- a/src/links/degradation-policy.ts
+++ b/src/links/degradation-policy.ts
@@ -1,20 +1,20 @@
 /**
- * The degradation policy: what a controller may do while some of its links are down, who does it otherwise, and what
- * proof it needs. One table, from which the operators' page is made as well. Pure.
+ * The degradation policy: which activities a controller may perform while some of its links are down, which it delegates
+ * to peers, and what each needs as proof. The table in the operators' documentation is printed from it.
  *
- * Nothing here relaxes a rule: leases, fencing tokens and guarded transactions hold whatever the policy allows. It only
- * keeps a controller from beginning what it could not record, or what another can do better.
+ * The policy never relaxes a safety rule: leases, fencing tokens and guarded transactions apply whatever it allows. It
+ * only keeps a controller from starting work that it could not record or that a peer can do better.
  */
 
 /**
- * What can be lost. The state service counts as lost for all where most peers say so too; peers count as one link, which
- * is lost when none of them answers.
+ * The connections that can be lost. `state_for_all`: most peers report the state service as down too. `peers`: no peer
+ * can be reached.
  */
 export const LOSSES = ["state", "state_for_all", "workers", "peers", "cloud", "users"] as const;
-/** A row of the table. */
+/** A connection that can be lost; a row of the policy table. */
 export type Loss = (typeof LOSSES)[number];
 
-/** What controllers do. */
+/** The activities that the policy governs. */
 export const ACTIVITIES = [
   "accept",
   "cancel",
@@ -26,44 +26,44 @@
   "move",
   "lead",
 ] as const;
-/** A column of the table. */
+/** An activity that the policy governs; a column of the policy table. */
 export type Activity = (typeof ACTIVITIES)[number];
 
-/** `delegated`: not done here but passed to a controller that can; where there is none it is refused. */
+/** `delegated`: passed to a peer that can perform the activity, or refused if no peer is reached. */
 export const DECISIONS = ["allowed", "delegated", "refused"] as const;
-/** Whether an activity goes on. */
+/** Whether a controller performs an activity itself. */
 export type Decision = (typeof DECISIONS)[number];
 
-/** What an activity rests on where it goes on. */
+/** What an activity requires before it takes effect. */
 type Proof =
   | "none"
-  /** A transaction of the state service that was answered with success. */
+  /** A transaction that the state service confirmed. */
   | "recorded"
-  /** A read that was sent after the question came. */
+  /** A read that was sent after the request arrived. */
   | "fresh_read"
-  /** The membership lease, counted from when its last renewal was sent, and a record that is not too old. */
+  /** A valid membership lease, counted from when its last renewal was sent, and a sufficiently recent record. */
   | "held_lease"
-  /** A hand-over transaction on the condition of the shard's version, after stepping back. */
+  /** A hand-over transaction conditional on the shard's version, after the owner has stopped acting for the shard. */
   | "guarded_transfer"
-  /** The cloud's answer. */
+  /** The cloud's response. */
   | "cloud_answer";
 
 /** One cell of the table. */
 export interface Rule {
   decision: Decision;
   proof: Proof;
-  /** Shown to operators wherever the decision is not `allowed`. */
+  /** Shown to operators if the decision is not `allowed`. */
   reason: string;
 }
 
-/** The rules for all activities. */
+/** One rule for each activity. */
 export type Rules = Record<Activity, Rule>;
 
 const allowed = (proof: Proof): Rule => ({ decision: "allowed", proof, reason: "" });
 const delegated = (proof: Proof, reason: string): Rule => ({ decision: "delegated", proof, reason });
 const refused = (reason: string): Rule => ({ decision: "refused", proof: "none", reason });
 
-/** What holds while every link works. */
+/** The rules while every link works. */
 export const NORMAL_RULES: Rules = {
   accept: allowed("recorded"),
   cancel: allowed("recorded"),
@@ -78,7 +78,7 @@
 
 const STATE_SERVICE_UNREACHED = "the state service is not reached, so nothing can be recorded";
 
-/** What changes with one loss; all else is as in `NORMAL_RULES`. */
+/** The rules that differ from `NORMAL_RULES` after a single loss. */
 export const RULES_BY_LOSS: Record<Loss, Partial<Rules>> = {
   state: {
     accept: delegated("recorded", STATE_SERVICE_UNREACHED),
@@ -90,7 +90,7 @@
     return: refused(STATE_SERVICE_UNREACHED),
     move: refused(STATE_SERVICE_UNREACHED),
   },
-  // Nobody can confirm a cancellation or take a shard over meanwhile, so that the lease is proof enough for starts.
+  // Until the outage ends no controller can confirm a cancellation or take over a shard, so the lease is enough to start.
   state_for_all: {
     accept: refused("the state service is down for all"),
     cancel: refused("the state service is down for all"),
@@ -118,7 +118,10 @@
 
 const STRICTNESS: Record<Decision, number> = { allowed: 0, delegated: 1, refused: 2 };
 
-/** The rules for a set of losses: the strictest of each. `alone`: there is no peer to pass anything to. */
+/**
+ * Combines the rules for a set of losses: the strictest rule for each activity. With `hasNoPeers`, nothing can be
+ * delegated.
+ */
 export function rulesForLosses(lost: ReadonlySet<Loss>, hasNoPeers = lost.has("peers")): Rules {
   const rules = { ...NORMAL_RULES };
   for (const loss of LOSSES) {
@@ -132,7 +135,7 @@
   return hasNoPeers ? refuseDelegated(rules) : rules;
 }
 
-/** Without peers there is nobody to pass anything to. A leader then stays: nobody is known to do better. */
+/** Refuses what would be delegated, except `lead`: without a reachable peer no better leader is known. */
 function refuseDelegated(rules: Rules): Rules {
   const effective = { ...rules };
   for (const activity of ACTIVITIES) {
--- a/src/links/degradation-state.ts
+++ b/src/links/degradation-state.ts
@@ -1,11 +1,11 @@
-/** Which links count as lost right now, and the degradation rules that follow. */
+/** Determines which connections are currently lost and which degradation rules apply. */
 import type { Logger } from "../runtime/log.js";
 import { ACTIVITIES, NORMAL_RULES, rulesForLosses, type Loss, type Rules } from "./degradation-policy.js";
 import type { LinkTable } from "./link-table.js";
 import { peerLink, type LinkName } from "./model.js";
 import type { MonitorMode } from "./settings.js";
 
-/** What the state is derived from. */
+/** Dependencies of a `DegradationState`. */
 export interface DegradationStateDependencies {
   readonly table: LinkTable;
   /** The other controllers. */
@@ -14,14 +14,14 @@
   readonly log: Logger;
 }
 
-/** The losses as of the last update, and the rules for them. */
+/** The current losses and the rules that apply to them. */
 export class DegradationState {
   private currentLosses: ReadonlySet<Loss> = new Set();
   private currentRules: Rules = NORMAL_RULES;
 
   constructor(private readonly dependencies: DegradationStateDependencies) {}
 
-  /** The links that count as lost, as of the last update. */
+  /** The connections that are lost, as of the last update. */
   get losses(): ReadonlySet<Loss> {
     return this.currentLosses;
   }
@@ -31,7 +31,7 @@
     return this.currentRules;
   }
 
-  /** Derives losses and rules from the links' diagnoses anew. */
+  /** Recomputes losses and rules from the links' diagnoses, and logs changes. */
   update(): void {
     const { peers, mode, log } = this.dependencies;
     const losses = this.detectLosses();
--- a/src/links/direction-tracker.ts
+++ b/src/links/direction-tracker.ts
@@ -1,19 +1,21 @@
 /**
- * The evidence about one direction of one link, and the state that follows from it. Deterministic: time comes in as an
- * argument, and is the time that this process was awake, so that a stall of its own is not taken for silence.
+ * Derives the state of one direction of a link from the evidence about it. Deterministic: the time is an argument, taken
+ * from the stall-aware clock, so that a stall of this process does not count as missing traffic.
  */
 import type { Evidence, FailureCause, LinkState } from "./model.js";
 import type { LinkTimings } from "./settings.js";
 
-/** A single lost call proves little: a packet may be lost, and an answer late. */
+/** One failure is not enough for `down`: a packet may be lost or a response late. */
 const MIN_FAILURES = 2;
 
-/** How much one answer moves the share of slow ones. */
+/** The weight of one response in the moving average of slow responses. */
 const SLOW_AVERAGE_WEIGHT = 0.2;
+/** A direction becomes slow above this fraction of slow responses. */
 const SLOW_ENTER_FRACTION = 0.6;
+/** A slow direction stops being slow below this fraction of slow responses. */
 const SLOW_EXIT_FRACTION = 0.3;
 
-/** Timings that one track goes by. */
+/** The durations that a tracker needs. */
 export type TrackerTimings = Pick<
   LinkTimings,
   | "downAfterMs"
@@ -25,7 +27,7 @@
   | "slowThresholdMs"
 >;
 
-/** A run of failures without a success in between. */
+/** Consecutive failures without a success in between. */
 interface FailureRun {
   startedAt: number;
   lastAt: number;
@@ -33,31 +35,32 @@
   cause: FailureCause;
 }
 
-/** What a review of the evidence comes to. */
+/** The state derived from the evidence. */
 interface Assessment {
   state: LinkState;
   evidence: Evidence;
 }
 
-/** Collects evidence and derives a state from it, with hysteresis. */
+/** Tracks the state of one direction of a link, with hysteresis. */
 export class DirectionTracker {
   state: LinkState = "unknown";
   evidence: Evidence = "no_traffic";
   private deliveredAt = -Infinity;
-  /** Since when nothing has failed. */
+  /** When the last run of failures ended. */
   private failureFreeSince = -Infinity;
   private failures: FailureRun | null = null;
   private slowFraction = 0;
-  private slow = false;
-  /** When this was last down. */
+  private isSlow = false;
+  /** When the direction was last found down. */
   private lastDownAt = -Infinity;
-  /** How many times in a row it has gone down soon after a recovery. */
+  /** How many times in a row the direction has gone down soon after a recovery. */
   private flapCount = 0;
+  /** Whether the direction went down and has been neither up nor unknown since. */
   private hasBeenDown = false;
 
   constructor(private readonly timings: TrackerTimings) {}
 
-  /** Traffic passed. */
+  /** Records that traffic passed, which ends a run of failures. */
   recordDelivery(now: number): void {
     if (this.failures !== null) {
       this.failures = null;
@@ -66,16 +69,16 @@
     this.deliveredAt = now;
   }
 
-  /** An answer came, after so long. */
+  /** Records a response that took `latencyMs`. */
   recordAnswer(now: number, latencyMs: number): void {
     this.recordDelivery(now);
     const slow = latencyMs > this.timings.slowThresholdMs ? 1 : 0;
     this.slowFraction += SLOW_AVERAGE_WEIGHT * (slow - this.slowFraction);
-    if (this.slowFraction > SLOW_ENTER_FRACTION) this.slow = true;
-    if (this.slowFraction < SLOW_EXIT_FRACTION) this.slow = false;
+    if (this.slowFraction > SLOW_ENTER_FRACTION) this.isSlow = true;
+    if (this.slowFraction < SLOW_EXIT_FRACTION) this.isSlow = false;
   }
 
-  /** Traffic was lost or refused; `since` tells when it should have passed, if that was earlier. */
+  /** Records that traffic was lost or refused; `since` is when it should have passed, if that was earlier than `now`. */
   recordFailure(now: number, cause: FailureCause, since = now): void {
     if (this.failures === null) this.failures = { startedAt: since, lastAt: now, count: 1, cause };
     else {
@@ -85,24 +88,24 @@
     }
   }
 
-  /** What was missed so far may be this process's own delay: only what fails from now on counts. */
+  /** Discards earlier failures, which may have been caused by delays of this process. */
   clearFailures(now: number): void {
     if (this.failures === null) return;
     this.failures = null;
     this.failureFreeSince = now;
   }
 
-  /** Whether nothing has been learned for half of the time after which the state is unknown: time for a probe. */
+  /** Whether there has been no evidence for half of the time after which the state becomes unknown. */
   needsProbe(now: number): boolean {
     return now - this.lastEvidenceAt >= this.timings.quietMs / 2;
   }
 
-  /** When traffic last passed. */
+  /** When traffic last passed; `-Infinity` if never. */
   get lastDeliveredAt(): number {
     return this.deliveredAt;
   }
 
-  /** Derives the state from the evidence so far; true where it has changed. */
+  /** Recomputes the state from the evidence so far. Returns whether it changed. */
   evaluate(now: number): boolean {
     const { state, evidence } = this.assess(now);
     if (state === "down" && this.state !== "down") this.enterDown(now);
@@ -113,12 +116,12 @@
     return changed;
   }
 
-  /** Whether it fails now, or did lately. */
+  /** Whether the direction is failing, or has not yet recovered from being down. */
   get isFailingOrRecovering(): boolean {
     return this.failures !== null || this.hasBeenDown;
   }
 
-  /** How long it must work without a failure to count as up again. */
+  /** How long the direction must work without a failure to count as up again, in milliseconds. */
   get requiredRecoveryMs(): number {
     return Math.min(this.timings.maxRecoverMs, this.timings.recoverMs * 2 ** this.flapCount);
   }
@@ -127,7 +130,7 @@
     return Math.max(this.deliveredAt, this.failures?.lastAt ?? -Infinity);
   }
 
-  /** Guards against work that wanders: each failure soon after a recovery makes the next recovery take longer. */
+  /** Doubles the recovery time for each failure soon after a recovery, so that a flapping link does not move work around. */
   private enterDown(now: number): void {
     this.hasBeenDown = true;
     const isFlapping = now - this.lastDownAt < this.timings.flapWindowMs + this.requiredRecoveryMs;
@@ -140,7 +143,7 @@
     if (this.hasBeenDown) return this.assessRecovery(now, sinceEvidence);
     if (sinceEvidence >= this.timings.quietMs) return { state: "unknown", evidence: "no_traffic" };
     if (this.failures !== null) return this.assessFailures(now, this.failures);
-    return this.slow ? { state: "degraded", evidence: "slow" } : { state: "up", evidence: "delivered" };
+    return this.isSlow ? { state: "degraded", evidence: "slow" } : { state: "up", evidence: "delivered" };
   }
 
   private assessFailures(now: number, run: FailureRun): Assessment {
@@ -148,7 +151,7 @@
     return { state: isSustained ? "down" : "degraded", evidence: run.cause };
   }
 
-  /** Down stays down until traffic passes, and counts as up only once it has passed for a while. */
+  /** A direction stays down until traffic passes, and is up only after it has worked for `requiredRecoveryMs`. */
   private assessRecovery(now: number, sinceEvidence: number): Assessment {
     if (this.failures !== null && sinceEvidence < this.timings.downExpiryMs) {
       const { state, evidence } = this.assessFailures(now, this.failures);
@@ -161,6 +164,6 @@
     if (now - this.failureFreeSince < this.requiredRecoveryMs)
       return { state: "degraded", evidence: "recovering" };
     this.hasBeenDown = false;
-    return this.slow ? { state: "degraded", evidence: "slow" } : { state: "up", evidence: "delivered" };
+    return this.isSlow ? { state: "degraded", evidence: "slow" } : { state: "up", evidence: "delivered" };
   }
 }
--- a/src/links/heartbeat-rate.ts
+++ b/src/links/heartbeat-rate.ts
@@ -1,37 +1,40 @@
-/** Whether workers report as often as they do while they are answered. */
+/** Detects that workers send heartbeats much less often than workers that receive responses do. */
 
-/** A worker that gets no answer waits for its time-out and tries others first: it comes back at a fraction of the rate. */
+/**
+ * The fraction of the expected heartbeats below which the rate is too low. A worker without a response waits for its
+ * time-out and tries the other controllers first, so it returns at a fraction of the normal rate.
+ */
 const SPARSE_FRACTION = 0.5;
-/** Reports are counted over so many of their intervals. */
+/** The length of the counting window, in heartbeat intervals. */
 const WINDOW_HEARTBEAT_INTERVALS = 3;
 
-/** Counts the reports of all workers that are expected here, over windows of time. */
+/** Counts heartbeats of all workers that this controller expects, in consecutive windows. */
 export class HeartbeatRate {
   private count = 0;
   private windowStart = -Infinity;
-  /** Whether the last whole window had far fewer reports than its workers send. */
+  /** Whether the last complete window had less than `SPARSE_FRACTION` of the expected heartbeats. */
   isSparse = false;
 
   constructor(private readonly heartbeatIntervalMs: number) {}
 
-  /** A report came. */
+  /** Counts a heartbeat. */
   record(): void {
     this.count++;
   }
 
-  /** Counts anew from now on. */
+  /** Starts a new window and discards the result of the last one. */
   reset(now: number): void {
     this.count = 0;
     this.isSparse = false;
     this.windowStart = now;
   }
 
-  /** To be called at every tick, with the number of workers that should report. */
+  /** Evaluates the window if it is complete. Call at every tick with the number of workers that should send heartbeats. */
   update(now: number, workerCount: number): void {
     const windowMs = now - this.windowStart;
     if (windowMs < WINDOW_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs) return;
     const expected = (workerCount * windowMs) / this.heartbeatIntervalMs;
-    // Before the first window nothing has been counted.
+    // Not finite before the first window, in which nothing has been counted yet.
     this.isSparse = Number.isFinite(expected) && this.count < SPARSE_FRACTION * expected;
     this.count = 0;
     this.windowStart = now;
--- a/src/links/link-policy.ts
+++ b/src/links/link-policy.ts
@@ -1,19 +1,19 @@
-/** What the rest of the process asks the link monitor, whether it runs or not. */
+/** The link monitor's interface for the rest of the process, whether the monitor runs or not. */
 import type { Activity } from "./degradation-policy.js";
 
-/** The degradation policy as it applies right now. */
+/** The degradation policy in its current state. */
 export interface LinkPolicy {
-  /** Whether this controller may do something itself. */
+  /** Whether this controller may perform an activity itself. */
   allows(activity: Activity): boolean;
-  /** Whether an activity is not even passed on to peers. */
+  /** Whether an activity is refused and not delegated to peers either. */
   refuses(activity: Activity): boolean;
-  /** Whether a shard may be handed over for the sake of its workers; asking counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. A `true` result counts as an attempt. */
   tryHandOver(shard: number): boolean;
-  /** Whether a peer is known not to be reached by workers, so that it should not get shards. */
+  /** Whether a peer is known to have lost its workers, so that it should not be assigned shards. */
   isCutOffFromWorkers(node: string): boolean;
 }
 
-/** The policy while no monitor runs, or while it only observes. */
+/** The policy while no monitor runs. */
 export const UNRESTRICTED: LinkPolicy = {
   allows: () => true,
   refuses: () => false,
--- a/src/links/link-prober.ts
+++ b/src/links/link-prober.ts
@@ -1,4 +1,4 @@
-/** Decides at every tick which links to probe, within the probe budget. */
+/** Selects the links to probe at every tick, within the probe budget. */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { DirectionTracker } from "./direction-tracker.js";
 import type { LinkTable } from "./link-table.js";
@@ -7,7 +7,7 @@
 import type { ProbeBudget } from "./probe-budget.js";
 import type { StallAwareClock } from "./stall-aware-clock.js";
 
-/** What a prober is made from. */
+/** Dependencies of a `LinkProber`. */
 export interface LinkProberDependencies {
   readonly clock: SteadyClock;
   readonly stallAwareClock: StallAwareClock;
@@ -16,17 +16,17 @@
   readonly budget: ProbeBudget;
   /** The other controllers. */
   readonly peers: readonly string[];
-  /** While something fails a peer's view should not be older than this, in milliseconds. */
+  /** The maximum age of a peer's view while a service fails here, in milliseconds. */
   readonly maxViewAgeMs: number;
-  /** Sends a probe; its outcome is observed where all calls are. */
+  /** Sends a probe. Its result is observed like that of any other call. */
   readonly probe: (link: LinkName) => void;
 }
 
-/** Probes quiet links. */
+/** Probes links without recent traffic. */
 export class LinkProber {
   constructor(private readonly dependencies: LinkProberDependencies) {}
 
-  /** Probes what needs it now. */
+  /** Probes the links that need it now and for which the budget allows it. */
   probeLinks(): void {
     const { clock, table, budget, probe } = this.dependencies;
     const now = clock();
@@ -36,8 +36,8 @@
   }
 
   /**
-   * A quiet peer is asked whether it is there, and any peer for its view while something fails here. The cloud is probed
-   * only where a peer finds that it fails: the answer then says who should lead.
+   * Probes a peer without recent traffic, and while a service fails here also a peer whose view is too old. The cloud is
+   * probed only if a peer reports it as down: the result decides which controller should lead.
    */
   private needsProbe(link: LinkName, tracker: DirectionTracker, now: number): boolean {
     const { peers, views, maxViewAgeMs, stallAwareClock } = this.dependencies;
--- a/src/links/link-table.ts
+++ b/src/links/link-table.ts
@@ -1,4 +1,4 @@
-/** All links of one controller with the tracks of both their directions. */
+/** All links of one controller, with a tracker for each direction. */
 import type { Diagnosis } from "./diagnosis.js";
 import { DirectionTracker, type TrackerTimings } from "./direction-tracker.js";
 import { DIRECTIONS, peerLink, type Direction, type LinkName, type Observation } from "./model.js";
@@ -8,17 +8,17 @@
   link: LinkName;
   direction: Direction;
   tracker: DirectionTracker;
-  /** When it last changed its reported state, by the steady clock. */
+  /** When the reported state last changed, by the steady clock. */
   stateChangedAt: number;
-  /** Since when it has been failing or recovering from that; null while it works. */
+  /** When the direction started failing, if it is failing or recovering; null while it works. */
   failingSince: number | null;
-  /** What is reported of it, as of the last review. */
+  /** The reported state, as of the last tick. */
   diagnosis: Diagnosis;
 }
 
 const UNDIAGNOSED: Diagnosis = { state: "unknown", evidence: "no_traffic", scope: "none" };
 
-/** The tracks of all links, by link and direction. Their number is that of the controllers, not of the machines. */
+/** The trackers by link and direction. Their number depends on the number of controllers, not of machines. */
 export class LinkTable {
   private readonly entries = new Map<string, LinkTableEntry>();
 
@@ -39,25 +39,25 @@
       }
   }
 
-  /** Both directions of all links. */
+  /** Returns both directions of all links. */
   all(): IterableIterator<LinkTableEntry> {
     return this.entries.values();
   }
 
-  /** What is reported of one direction of a link. */
+  /** Returns the reported state of one direction of a link. */
   diagnosis(link: LinkName, direction: Direction): Diagnosis {
     return this.entries.get(keyOf(link, direction))?.diagnosis ?? UNDIAGNOSED;
   }
 
-  /** Undefined for a peer that the settings do not name. */
+  /** Returns the tracker of one direction of a link; undefined for a peer that the settings do not name. */
   tracker(link: LinkName, direction: Direction): DirectionTracker | undefined {
     return this.entries.get(keyOf(link, direction))?.tracker;
   }
 
-  /** Brings an observation to the directions that it tells of. */
+  /** Records an observation in the trackers of the directions that it concerns. */
   observe(observation: Observation, now: number): void {
     const { link } = observation;
-    // Most observations are of reports: they need one look-up.
+    // Most observations are heartbeats, so this path takes a single look-up.
     if (observation.kind === "delivered") {
       this.tracker(link, observation.direction)?.recordDelivery(now);
       return;
--- a/src/links/link-view.ts
+++ b/src/links/link-view.ts
@@ -1,15 +1,15 @@
 /**
- * A controller's view of its own links, as it tells it to its peers in frames that go out anyway. A view is a hint: it
- * tells failures apart and proves nothing about ownership or tasks, so that one that cannot be read is just dropped.
+ * A controller's view of its own links, which it attaches to frames that it sends to peers anyway. A view is a hint: it
+ * helps to tell failures apart but proves nothing about ownership or tasks, so a malformed view is dropped.
  */
 import protobuf from "protobufjs";
 import * as z from "zod";
 import { DIRECTIONS, LINK_STATES } from "./model.js";
 
-/** The version of the format that this program writes, and the newest that it reads. */
+/** The format version that is written, and the newest that is read. */
 export const VIEW_VERSION = 1;
 
-/** No honest view is larger: links to some dozens of peers, and shards of as many controllers. */
+/** Views stay below this: links to some dozens of peers, and shards of as many controllers. */
 const MAX_VIEW_BYTES = 16 * 1024;
 const MAX_NAME_LENGTH = 200;
 
@@ -23,7 +23,7 @@
   uint32 version = 1;
   string node = 2;
   string incarnation = 3;
-  // Rises with every view of one incarnation.
+  // Increases with every view of an incarnation.
   uint64 sequence = 4;
   repeated LinkNote links = 5;
   repeated MisroutedWorkers misrouted = 6;
@@ -31,7 +31,7 @@
 
 message LinkNote { string link = 1; string direction = 2; string state = 3; }
 
-// Workers that follow the token of a shard's owner and came to this controller instead, lately.
+// Workers that hold the token of the shard's owner but recently sent heartbeats to this controller instead.
 message MisroutedWorkers { uint32 shard = 1; uint32 workers = 2; uint64 term = 3; }
 `,
   )
@@ -53,27 +53,27 @@
 /** One controller's view of its links. */
 export type LinkView = z.infer<typeof viewSchema>;
 
-/** Why a view was not taken in. */
+/** Why a view was dropped. */
 export type ViewRejection =
   | "malformed"
-  /** Written by a program that knows a newer format. */
+  /** The view has a newer format version. */
   | "unsupported_version"
-  /** From a controller that the settings do not name, or under this controller's own name. */
+  /** The sender is a controller that the settings do not name, or uses this controller's own name. */
   | "unknown_node"
-  /** A late copy, or from a process that another has replaced. */
+  /** The view is older than the latest one, or from an incarnation that has been replaced. */
   | "outdated"
-  /** It differs from another view of the same process with the same number. */
+  /** The view differs from another with the same incarnation and sequence number. */
   | "contradictory";
 
-/** A view, or why there is none. */
+/** A decoded view, or why it was dropped. */
 export type DecodedView = { ok: true; view: LinkView } | { ok: false; reason: ViewRejection };
 
-/** Encodes a view for a frame. */
+/** Encodes a view to attach it to a frame. */
 export function encodeView(view: LinkView): Uint8Array {
   return viewType.encode(viewType.fromObject(view)).finish();
 }
 
-/** Decodes and checks what came with a frame. Never throws: whatever is odd about it, the frame itself still counts. */
+/** Decodes and validates a view. Never throws: a frame stays valid whatever view it carries. */
 export function decodeView(bytes: Uint8Array): DecodedView {
   if (bytes.byteLength > MAX_VIEW_BYTES) return { ok: false, reason: "malformed" };
   let decoded: Record<string, unknown>;
@@ -82,7 +82,7 @@
   } catch {
     return { ok: false, reason: "malformed" };
   }
-  // Looked at first: a newer format may differ in all else.
+  // Checked before the schema, because a newer format may differ in any other field.
   if (typeof decoded.version === "number" && decoded.version > VIEW_VERSION)
     return { ok: false, reason: "unsupported_version" };
   const parsed = viewSchema.safeParse(decoded);
--- a/src/links/misrouted-workers.ts
+++ b/src/links/misrouted-workers.ts
@@ -1,44 +1,44 @@
 /**
- * Workers that come to this controller although they follow another's token: a sign that they do not reach their owner.
- * One entry a worker, and no timer: old entries are dropped when they are counted.
+ * Tracks workers that send heartbeats to this controller although they hold another controller's token, a sign that they
+ * cannot reach their owner. It keeps one entry per worker and needs no timer: expired entries are dropped on counting.
  */
 
-/** How many workers of one shard came here lately. */
+/** The number of workers of a shard that were recently misrouted. */
 export interface MisroutedCount {
   shard: number;
-  /** The version of the shard's record: what was seen in an earlier owner's term says nothing about the present one. */
+  /** The version of the shard's record. Workers misrouted in an earlier owner's term say nothing about the current owner. */
   term: number;
   workers: number;
 }
 
 interface MisroutedHosts {
   term: number;
-  /** When each was last seen, the oldest first. */
+  /** When each host was last seen, oldest first. */
   hosts: Map<string, number>;
 }
 
-/** Counts distinct workers per shard and term within a window of time. */
+/** Counts distinct misrouted workers per shard in its latest term, within a time window. */
 export class MisroutedWorkers {
   private readonly lastSeen = new Map<number, MisroutedHosts>();
 
   constructor(
     private readonly windowMs: number,
-    /** How many workers are remembered at the most. */
+    /** The maximum number of workers tracked for a shard. */
     private readonly maxWorkersPerShard: number,
   ) {}
 
-  /** A worker of the shard came here, in a term of the shard's owner. */
+  /** Records a misrouted worker of a shard, with the term of the shard's owner. */
   record(shard: number, term: number, host: string, now: number): void {
     const seen = this.lastSeen.get(shard);
     const hosts = seen?.term === term ? seen.hosts : new Map<string, number>();
     if (hosts.size >= this.maxWorkersPerShard && !hosts.has(host)) return;
-    // Deleted first, so that the oldest stays in front.
+    // Deleted before it is set again, so that insertion order stays oldest first.
     hosts.delete(host);
     hosts.set(host, now);
     this.lastSeen.set(shard, { term, hosts });
   }
 
-  /** Distinct workers per shard within the window. */
+  /** Returns the number of distinct workers per shard within the window. */
   counts(now: number): MisroutedCount[] {
     const counts: MisroutedCount[] = [];
     for (const [shard, { term, hosts }] of this.lastSeen) {
--- a/src/links/model.ts
+++ b/src/links/model.ts
@@ -1,70 +1,70 @@
-/** The vocabulary of the link monitor: links, directions, observations and states. */
+/** Shared types of the link monitor: links, directions, observations and states. */
 
-/** A connection that a controller depends on; one for each peer. */
+/** A connection that a controller depends on. Each peer has a link of its own. */
 export type LinkName = "state" | "workers" | "cloud" | "users" | `peer:${string}`;
 
-/** The link to another controller. */
+/** Returns the name of the link to another controller. */
 export const peerLink = (node: string): LinkName => `peer:${node}`;
 
-/** Both ways of a link: what this controller sends, and what reaches it. */
+/** The directions of a link: `outbound` is what this controller sends, `inbound` what it receives. */
 export const DIRECTIONS = ["outbound", "inbound"] as const;
-/** One way of a link. */
+/** One direction of a link. */
 export type Direction = (typeof DIRECTIONS)[number];
 
-/** `degraded`: it works, with failures or slowly, or it has worked again for a short time only. */
+/** `degraded`: the link works, but with failures, slowly, or not yet long enough since it was down. */
 export const LINK_STATES = ["up", "degraded", "down", "unknown"] as const;
-/** What is known of one direction of a link. */
+/** The state of one direction of a link. */
 export type LinkState = (typeof LINK_STATES)[number];
 
-/** Why a call, or expected traffic, counts as failed. */
+/** Why a call, or traffic that was expected, counts as failed. */
 export type FailureCause =
-  /** A call got no answer; whether the request or the answer was lost cannot be seen from here. */
+  /** A call got no response. The caller cannot tell whether the request or the response was lost. */
   | "no_answer"
-  /** The other side answered that it will not serve. */
+  /** The other side responded that it does not serve the request. */
   | "refused"
-  /** Traffic that should have come did not. */
+  /** Expected traffic did not arrive. */
   | "silent"
-  /** Answers went out, and peers see that they were not received. */
+  /** Responses were sent, but peers' views show that they did not arrive. */
   | "answers_lost";
 
-/** What a state rests on. */
+/** What a reported state is based on. */
 export type Evidence =
   | FailureCause
-  /** Traffic was seen to arrive. */
+  /** Traffic arrived. */
   | "delivered"
-  /** Answers come, and most of them late. */
+  /** Responses arrive, but most of them late. */
   | "slow"
-  /** It has worked again since a failure, for less time than is needed to trust it. */
+  /** The link works again, but for less time than it takes to count as up. */
   | "recovering"
-  /** Nothing was sent or expected lately. */
+  /** Nothing was sent or received recently. */
   | "no_traffic"
-  /** This process itself stood still, so that silence proves nothing. */
+  /** This process itself stalled, so missing traffic proves nothing. */
   | "process_stalled"
-  /** Silence that looks alike whether this controller or the other side is cut off. */
+  /** Traffic is missing, and peers' views do not show that only this controller misses it. */
   | "uncorroborated";
 
-/** Whom a failure concerns, as far as peers' views tell. */
+/** Which controllers a failure affects, according to peers' views. */
 export type Scope = "none" | "this_node" | "everyone" | "unclear";
 
-/** One piece of evidence about one direction, or both, of a link. */
+/** Evidence about one or both directions of a link. */
 export type Observation =
   | { kind: "delivered"; link: LinkName; direction: Direction }
-  /** A call was answered, after so long. */
+  /** A call was answered after `latencyMs`. */
   | { kind: "answered"; link: LinkName; latencyMs: number }
-  /** A call was answered with a refusal: traffic passes both ways, and what was asked was not done. */
+  /** A call was answered with a refusal: traffic passes in both directions, but the request was not executed. */
   | { kind: "refused"; link: LinkName }
   /** A call was not answered. */
   | { kind: "unanswered"; link: LinkName };
 
-/** Takes in observations. */
+/** Receives observations. */
 export type ObservationSink = (observation: Observation) => void;
 
-/** One direction of a link as it is reported. */
+/** The reported state of one direction of a link. */
 export interface DirectionReport {
   link: LinkName;
   direction: Direction;
   state: LinkState;
-  /** How long it has been so, by the steady clock. */
+  /** How long the direction has been in this state, by the steady clock. */
   forMs: number;
   evidence: Evidence;
   scope: Scope;
--- a/src/links/monitor.ts
+++ b/src/links/monitor.ts
@@ -1,7 +1,7 @@
 /**
- * The actor that watches this controller's links: it collects evidence from the traffic that flows anyway and peers'
- * views, derives a state per link and direction at every tick, and says what the controller may do. The cost of a tick
- * depends on the number of links, and a heartbeat costs the same however many machines there are.
+ * The actor that monitors this controller's links. It collects evidence from regular traffic and peers' views, derives
+ * the state of each link and direction at every tick, and applies the degradation policy. The cost of a tick depends on
+ * the number of links only; the cost of a heartbeat does not depend on the number of machines.
  */
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
@@ -28,18 +28,18 @@
 /** Messages to the monitor. */
 export type LinkMonitorMessage =
   | { kind: "observed"; observation: Observation }
-  /** A worker of another controller's shard came here although it follows that controller's token. */
+  /** A worker of another controller's shard sent a heartbeat to this controller. */
   | { kind: "misrouted"; shard: number; term: number; host: string }
   | { kind: "tick" };
 
-/** What the monitor needs of the rest of the process. */
+/** What the monitor requires of the rest of the process. */
 export interface LinkMonitorCallbacks extends RemediationCallbacks {
   ownedShards(): OwnedShardStatus[];
-  /** Sends a probe; its outcome is observed where all calls are. */
+  /** Sends a probe. Its result is observed like that of any other call. */
   probe(link: LinkName): void;
 }
 
-/** What the monitor is made with. */
+/** Options of a `LinkMonitor`. */
 export interface LinkMonitorOptions {
   node: string;
   incarnation: string;
@@ -48,15 +48,15 @@
   mode: Exclude<MonitorMode, "off">;
   timings: LinkTimings;
   probes: Omit<ProbeRates, "minPeerIntervalMs">;
-  /** How long a worker that turned elsewhere counts as misrouted. */
+  /** How long a worker counts as misrouted after its last misrouted heartbeat, in milliseconds. */
   misroutedWindowMs: number;
   maxMachines: number;
-  /** Without a health check for so long, the users' load balancer counts as silent; milliseconds. */
+  /** The users' load balancer counts as silent after this time without a health check, in milliseconds. */
   usersSilenceMs: number;
   clock: SteadyClock;
 }
 
-/** Watches the links of one controller. */
+/** Monitors the links of one controller. */
 export class LinkMonitor extends Actor<LinkMonitorMessage> implements LinkPolicy {
   private readonly stallAwareClock: StallAwareClock;
   private readonly table: LinkTable;
@@ -108,34 +108,34 @@
     return this.options.mode === "enforce";
   }
 
-  /** Whether the policy lets this controller do something itself now. */
+  /** Whether the policy currently lets this controller perform an activity itself. */
   allows(activity: Activity): boolean {
     return !this.isEnforcing || this.degradation.rules[activity].decision === "allowed";
   }
 
-  /** Whether the policy keeps an activity from being passed on to peers: nobody would do better. */
+  /** Whether the policy refuses an activity, so that it is not delegated to peers either. */
   refuses(activity: Activity): boolean {
     return this.isEnforcing && this.degradation.rules[activity].decision === "refused";
   }
 
-  /** Whether a shard may be handed over again for the sake of its workers; asking counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. A `true` result counts as an attempt. */
   tryHandOver(shard: number): boolean {
     return !this.isEnforcing || this.remediation.tryHandOver(shard);
   }
 
-  /** Whether a peer, by its latest view, receives no heartbeats: shards are better off elsewhere. */
+  /** Whether a peer's latest view shows its workers as lost, so that it should not be assigned shards. */
   isCutOffFromWorkers(node: string): boolean {
     if (!this.isEnforcing) return false;
     const view = this.views.currentOf(node, this.options.clock());
     return view !== undefined && hasLostWorkers(view);
   }
 
-  /** The view to attach to a frame to a peer, if it is time for one. */
+  /** Returns the view to attach to a frame to a peer; undefined if the last one was sent too recently. */
   outgoing(node: string): Uint8Array | undefined {
     return this.viewSender.nextViewFor(node);
   }
 
-  /** Takes a view that came with a frame, and returns the node that it is from; null where it is dropped. */
+  /** Processes a view that came with a frame. Returns the node that sent it, or null if the view is dropped. */
   incoming(bytes: Uint8Array): string | null {
     const result = this.views.receive(bytes, this.options.clock());
     if (!result.ok) {
@@ -147,7 +147,7 @@
     return node;
   }
 
-  /** What operators are shown. */
+  /** Returns the status that operators see. */
   status(): LinkStatus {
     const { node, mode } = this.options;
     const { losses, rules } = this.degradation;
@@ -178,7 +178,8 @@
   private observe(observation: Observation): void {
     if (observation.kind === "delivered" && observation.link === "workers") {
       if (observation.direction === "inbound") this.silence.recordHeartbeat();
-      // A worker shows a token that it took long ago: whether responses still reach it has to show by its staying here.
+      // The worker may have received its token long ago, so the token does not show that responses still reach it. That
+      // shows once the worker stays with this controller.
       else if (this.silence.hasLostResponses) return;
     }
     this.table.observe(observation, this.stallAwareClock.now());
@@ -197,7 +198,7 @@
   private recordDroppedView(reason: ViewRejection): void {
     const count = (this.droppedViewCounts.get(reason) ?? 0) + 1;
     this.droppedViewCounts.set(reason, count);
-    // The first of a kind is worth a line; a peer that keeps sending them is seen in the status.
+    // Only the first of each reason is logged at info level; the status counts them all.
     if (count === 1) this.log.info({ reason }, "peer's view of its links dropped");
     else this.log.debug({ reason, count }, "peer's view of its links dropped");
   }
@@ -224,8 +225,8 @@
   }
 
   /**
-   * Only views from after a failure began say whether it is one for all. Peers' workers are others than ours: what counts
-   * there is whether ours turn to them.
+   * Only views received after a failure began count as votes on its scope. For the workers' link, peers' own states do
+   * not count since their workers are different ones; a peer votes `working` if workers of owned shards reach it.
    */
   private votesFor({ link, direction, failingSince }: LinkTableEntry, shards: OwnedShardStatus[]): Votes {
     const now = this.options.clock();
--- a/src/links/observed-json-client.ts
+++ b/src/links/observed-json-client.ts
@@ -1,34 +1,34 @@
-/** Lets the link monitor see calls that are made anyway, without changing them. */
+/** Lets the link monitor observe HTTP calls without changing them. */
 import type { SteadyClock } from "../runtime/clock.js";
 import { NoResponseError, type JsonResponse, type JsonClient } from "../runtime/json-client.js";
 import type { LinkName, ObservationSink } from "./model.js";
 
 const HTTP_UNAVAILABLE = 503;
 
-/** A time-out that fires so many times later than it should shows that this process was busy: the answer may be there. */
+/** A time-out that fires later than this multiple of it shows that this process was busy: the response may be waiting. */
 const LATE_TIMEOUT_RATIO = 1.25;
 
-/** Whether an answer says that the service will not serve. */
+/** Whether a response means that the service refused the request. */
 export type RefusalCheck = (answer: JsonResponse) => boolean;
 
-/** The state service refuses with 503 and does not execute the request. */
+/** The state service refuses a request with status 503 and does not execute it. */
 export const isUnavailable: RefusalCheck = ({ status }) => status === HTTP_UNAVAILABLE;
 
-/** A cloud without capacity answers with the same status as one in trouble; it works all the same. */
+/** The cloud also responds with status 503 if it has no capacity, which does not count as a refusal. */
 export const isCloudUnavailable: RefusalCheck = ({ status, body }) =>
   status === HTTP_UNAVAILABLE && (body as { error?: unknown } | undefined)?.error !== "no capacity";
 
-/** What calls are watched as. */
+/** How calls are observed. */
 export interface ObservedJsonClientOptions {
   link: LinkName;
   isRefusal: RefusalCheck;
   sink: ObservationSink;
   clock: SteadyClock;
-  /** Whether the time that an answer takes says anything: watches stay open on purpose. */
+  /** Whether the latency of a call is reported. False for watches, for example, which stay open by design. */
   isLatencyMeaningful: boolean;
 }
 
-/** Calls whose outcomes are reported to the monitor. */
+/** A client that reports the outcome of each call to the monitor. */
 export class ObservedJsonClient implements JsonClient {
   constructor(
     private readonly client: JsonClient,
@@ -36,9 +36,9 @@
   ) {}
 
   /**
-   * Makes a call and reports its outcome.
+   * Makes a call and reports whether it was answered, refused or unanswered.
    *
-   * @throws NoResponseError as the observed client does
+   * @throws NoResponseError if the observed client throws it
    */
   async call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
     const { link, isRefusal, sink, clock, isLatencyMeaningful } = this.options;
--- a/src/links/peer-views.ts
+++ b/src/links/peer-views.ts
@@ -1,34 +1,34 @@
-/** The latest views of all peers, as long as they count, and what they say together. */
+/** The latest views of all peers until they expire, and the votes derived from them. */
 import type { Direction, LinkName, LinkState } from "./model.js";
 import { decodeView, type DecodedView, type LinkView } from "./link-view.js";
 
-/** A peer's view and when it came. */
+/** A peer's view and when it was received. */
 interface ReceivedView {
   view: LinkView;
   receivedAt: number;
 }
 
-/** How many peers, by their latest views, find a link working and failing. */
+/** The peers that report a link as working and as failing, by their latest views. */
 export interface Votes {
   working: string[];
   failing: string[];
 }
 
-/** Processes that have been replaced, remembered per peer: late copies of their views come seconds later at the most. */
+/** Replaced incarnations kept per peer. A few are enough, since late copies of views arrive within seconds. */
 const MAX_REPLACED_INCARNATIONS = 8;
 
-/** Takes in views, drops what cannot be believed, and counts votes. */
+/** Receives views, drops invalid and outdated ones, and counts votes. */
 export class PeerViews {
   private readonly latest = new Map<string, ReceivedView>();
   private readonly replacedIncarnations = new Map<string, string[]>();
 
   constructor(
-    /** The controllers that the settings name, this one not among them. */
+    /** The controllers that the settings name, except this one. */
     private readonly peers: ReadonlySet<string>,
     private readonly ttlMs: number,
   ) {}
 
-  /** Takes in a view if it is newer than all from the same peer. */
+  /** Stores a view unless it is invalid or older than the latest one of the same peer. */
   receive(bytes: Uint8Array, now: number): DecodedView {
     const decoded = decodeView(bytes);
     if (!decoded.ok) return decoded;
@@ -46,7 +46,7 @@
     return decoded;
   }
 
-  /** The views that still count. */
+  /** Returns the views that have not expired. */
   current(now: number): LinkView[] {
     const views: LinkView[] = [];
     for (const { view, receivedAt } of this.latest.values())
@@ -54,15 +54,15 @@
     return views;
   }
 
-  /** A peer's view, if it still counts. */
+  /** Returns a peer's view unless it has expired. */
   currentOf(node: string, now: number): LinkView | undefined {
     const received = this.latest.get(node);
     return received !== undefined && now - received.receivedAt <= this.ttlMs ? received.view : undefined;
   }
 
   /**
-   * What the peers say of their own links to the same service, by views that came since a given time. Peers whose link is
-   * degraded or unknown abstain: it may be about to fail, too.
+   * Counts the peers' votes on their own links to the same service, by views received since a given time. A peer whose
+   * link is degraded or unknown abstains, since the link may be about to fail too.
    */
   votes(link: LinkName, direction: Direction, now: number, since: number): Votes {
     const votes: Votes = { working: [], failing: [] };
@@ -75,7 +75,7 @@
     return votes;
   }
 
-  /** When the latest view of a peer came. */
+  /** When the latest view of a peer was received; `-Infinity` if none was. */
   receivedAt(node: string): number {
     return this.latest.get(node)?.receivedAt ?? -Infinity;
   }
@@ -86,7 +86,7 @@
   }
 }
 
-/** What a view says of one direction of a link. */
+/** Returns the state that a view gives for one direction of a link. */
 export function linkStateIn(view: LinkView, link: LinkName, direction: Direction): LinkState | undefined {
   return view.links.find((note) => note.link === link && note.direction === direction)?.state;
 }
--- a/src/links/probe-budget.ts
+++ b/src/links/probe-budget.ts
@@ -1,22 +1,23 @@
 /**
- * Which quiet links to probe, within budgets that are ratios to the settings. The state service is never quiet, since the
- * membership lease is renewed all the time; workers and users come by themselves.
+ * Limits the rate of probes of idle links. Only the cloud and peers are probed: the state service always has traffic
+ * because the membership lease is renewed, and workers and users send requests on their own.
  */
 import { TokenBucket } from "../runtime/token-bucket.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { LinkName } from "./model.js";
 
-/** What the settings say of rates, for all controllers together. */
+/** Rates that limit probes. */
 export interface ProbeRates {
+  /** The cloud's request rate for all controllers together, in requests per second. */
   cloudRps: number;
   controllers: number;
-  /** The share of the cloud's rate that probes may use. */
+  /** The share of the cloud's request rate that probes may use. */
   share: number;
-  /** How often a quiet peer may be asked. */
+  /** The minimum time between two probes of the same peer, in milliseconds. */
   minPeerIntervalMs: number;
 }
 
-/** Hands out the right to probe. */
+/** Limits probes of the cloud by a token bucket, and of peers by a minimum interval. */
 export class ProbeBudget {
   private readonly cloud: TokenBucket;
   private readonly peerProbedAt = new Map<LinkName, number>();
@@ -28,7 +29,7 @@
     this.cloud = new TokenBucket((rates.cloudRps * rates.share) / rates.controllers, 1, clock);
   }
 
-  /** Whether this link may be probed now; the right is used up by asking. */
+  /** Whether a link may be probed now. A `true` result uses up the permit. */
   tryAcquire(link: LinkName): boolean {
     if (link === "cloud") return this.cloud.tryAcquire(1);
     if (!link.startsWith("peer:")) return false;
--- a/src/links/remediation-runner.ts
+++ b/src/links/remediation-runner.ts
@@ -1,4 +1,4 @@
-/** Carries out remediations, each again for the same cause only after a back-off. */
+/** Executes remediations, with a back-off between two for the same cause. */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { Backoff } from "./backoff.js";
@@ -7,19 +7,19 @@
 import { planRemediations, type OwnedShardStatus, type Remediation } from "./remediation.js";
 import type { LinkTimings } from "./settings.js";
 
-/** The key of the back-off for giving leadership up; the others are shards. */
+/** The back-off key of a resignation from leadership; the other keys are shards. */
 const RESIGNATION = "leadership";
 
-/** What the runner asks and tells the rest of the process. */
+/** What the runner requires of the rest of the process. */
 export interface RemediationCallbacks {
   isLeader(): boolean;
-  /** Whether a controller holds a membership lease, as far as the records say. */
+  /** Whether a controller holds a membership lease, according to the records. */
   isMember(node: string): boolean;
   handOver(shard: number, targetNode: string): void;
   resign(): void;
 }
 
-/** What the runner is made from. */
+/** Dependencies of a `RemediationRunner`. */
 export interface RemediationRunnerDependencies {
   readonly clock: SteadyClock;
   readonly table: LinkTable;
@@ -29,7 +29,7 @@
   readonly log: Logger;
 }
 
-/** Plans remediations at every tick and carries them out. */
+/** Plans and executes remediations at every tick. */
 export class RemediationRunner {
   private readonly backoff: Backoff<number | typeof RESIGNATION>;
 
@@ -38,7 +38,7 @@
     this.backoff = new Backoff({ initialMs: moveBackoffMs, maxMs: maxMoveBackoffMs });
   }
 
-  /** Whether a shard may be handed over again for the sake of its workers; asking counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. A `true` result counts as an attempt. */
   tryHandOver(shard: number): boolean {
     const now = this.dependencies.clock();
     if (!this.backoff.canAttempt(shard, now)) return false;
@@ -46,7 +46,7 @@
     return true;
   }
 
-  /** Plans and carries out what the losses ask for now. */
+  /** Executes the remediations that the current diagnoses call for. */
   run(shards: OwnedShardStatus[]): void {
     const { clock, table, views, callbacks } = this.dependencies;
     const now = clock();
--- a/src/links/remediation.ts
+++ b/src/links/remediation.ts
@@ -1,38 +1,38 @@
-/** What a controller does of its own accord about a link that is down: pass on what a peer can do better. Pure. */
+/** Plans how a controller reacts to a link that is down: it passes shards or leadership to a peer that works better. */
 import type { Diagnosis } from "./diagnosis.js";
 import { DIRECTIONS, type Direction, type LinkName } from "./model.js";
 import { linkStateIn } from "./peer-views.js";
 import type { LinkView } from "./link-view.js";
 
-/** A step that the controller should take. */
+/** An action that the controller should take. */
 export type Remediation =
   | { kind: "hand_over"; shard: number; to: string }
-  /** Give up leadership, since a peer reaches the cloud. */
+  /** Resign from leadership, since the peer `betterPlaced` reaches the cloud. */
   | { kind: "resign"; betterPlaced: string };
 
 /** A shard that this controller owns. */
 export interface OwnedShardStatus {
   shard: number;
-  /** The version of its record with which this controller acts for it. */
+  /** The version of the shard's record under which this controller owns the shard. */
   term: number;
-  /** Machines of the shard that are on record as up. */
+  /** The number of the shard's machines whose records show them as up. */
   machines: number;
 }
 
-/** What a decision on remedies is made on. */
+/** The input of `planRemediations`. */
 export interface RemediationInput {
   diagnosis: (link: LinkName, direction: Direction) => Diagnosis;
   shards: OwnedShardStatus[];
   isLeader: boolean;
-  /** Peers' views that count, of controllers that hold a membership lease. */
+  /** Unexpired views of the peers that hold a membership lease. */
   peers: LinkView[];
   canHandOver: (shard: number) => boolean;
   canResign: boolean;
 }
 
-/** What should be done now. */
+/** Returns the actions to take now. */
 export function planRemediations(input: RemediationInput): Remediation[] {
-  // Both take a write of the state service.
+  // A hand-over and a resignation each need a write to the state service.
   if (input.diagnosis("state", "outbound").state === "down") return [];
   return [...planHandOvers(input), ...planResignation(input)];
 }
@@ -54,7 +54,10 @@
   return remediations;
 }
 
-/** The peer to which most of the shard's workers turn, if it can record what it decides; null keeps the shard here. */
+/**
+ * Returns the peer that most of the shard's workers send heartbeats to, among the peers that reach the state service and
+ * have not lost their own workers; null if there is none, so that the shard stays.
+ */
 function bestSuccessor(peers: LinkView[], owned: OwnedShardStatus): string | null {
   let best: { node: string; workers: number } | null = null;
   for (const view of peers) {
@@ -65,7 +68,7 @@
   return best?.node ?? null;
 }
 
-/** How many workers of a shard turned to a peer in the present term. */
+/** Returns the number of a shard's workers that a peer reports as misrouted in the current term. */
 export function misroutedWorkersSeenBy(view: LinkView, { shard, term }: OwnedShardStatus): number {
   return view.misrouted.find((count) => count.shard === shard && count.term === term)?.workers ?? 0;
 }
@@ -74,7 +77,7 @@
   return linkStateIn(view, "state", "outbound") !== "down" && !hasLostWorkers(view);
 }
 
-/** Whether a peer finds its workers lost, in either direction. */
+/** Whether a peer reports its workers' link as down in either direction. */
 export function hasLostWorkers(view: LinkView): boolean {
   return DIRECTIONS.some((direction) => linkStateIn(view, "workers", direction) === "down");
 }
--- a/src/links/settings.ts
+++ b/src/links/settings.ts
@@ -1,40 +1,40 @@
-/** The operators' settings of the link monitor, and the durations that follow from them. */
+/** The operators' settings of the link monitor, and the durations derived from them. */
 import * as z from "zod";
 
-/** `observe`: links are watched and reported. `enforce`: what follows from their states is carried out as well. */
+/** `observe`: link states are reported only. `enforce`: the degradation policy and remediations apply as well. */
 export const MONITOR_MODES = ["off", "observe", "enforce"] as const;
-/** How much the link monitor does. */
+/** The mode of the link monitor. */
 export type MonitorMode = (typeof MONITOR_MODES)[number];
 
 const ratio = z.number().positive().max(1000);
 
-/** The `links` block of the operators' file. */
+/** Schema of the `links` block in the operators' settings file. */
 export const linkSettingsSchema = z
   .strictObject({
     mode: z.enum(MONITOR_MODES).default("off"),
-    /** A link is down once it has failed for so many report intervals. */
+    /** Number of heartbeat intervals of continuous failure after which a link is down. */
     down_after_reports: ratio.min(0.5).default(1.5),
-    /** It is up again once it has worked without a failure for so many report intervals. */
+    /** Number of heartbeat intervals without a failure after which a link that was down is up again. */
     recover_after_reports: ratio.default(2),
-    /** It is unknown after so many report intervals without traffic. */
+    /** Number of heartbeat intervals without traffic after which the state of a link is unknown. */
     quiet_after_reports: ratio.min(1).default(4),
-    /** Each further failure soon after a recovery doubles the time to recover, up to so many times. */
+    /** Each failure soon after a recovery doubles the recovery time, up to this multiple of it. */
     flap_bound: z.int().min(1).max(64).default(8),
-    /** The share of the state service's and the cloud's rates that probes of quiet links may use. */
+    /** The share of the state service's and the cloud's request rates that probes of idle links may use. */
     probe_share: z.number().positive().max(0.25).default(0.02),
-    /** Each further move for the same cause doubles the wait, up to so many shard periods. */
+    /** Each further move for the same cause doubles the back-off, up to this number of shard move periods. */
     move_backoff_bound: z.int().min(1).max(64).default(8),
   })
   .prefault({});
 
-/** The `links` block, checked and with defaults filled in. */
+/** The parsed `links` block with defaults applied. */
 export type LinkSettings = z.infer<typeof linkSettingsSchema>;
 
-/** What the platform's settings contribute. */
+/** Durations from the other settings that the link monitor's durations are derived from. */
 export interface LinkTimingInputs {
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** After how long a call to the state service is given up. */
+  /** The time-out of a call to the state service. */
   callTimeoutMs: number;
   tickMs: number;
   shardMovePeriodMs: number;
@@ -46,36 +46,36 @@
   tickMs: number;
   downAfterMs: number;
   recoverMs: number;
-  /** The longest time that a flapping link needs to recover. */
+  /** The upper bound of the recovery time of a flapping link. */
   maxRecoverMs: number;
-  /** A failure within this of a recovery counts as flapping. */
+  /** A failure within this time after a recovery counts as flapping. */
   flapWindowMs: number;
   quietMs: number;
-  /** A direction that was down and without traffic since is unknown after this. */
+  /** A direction that was down and has had no traffic since becomes unknown after this time. */
   downExpiryMs: number;
-  /** An answer that takes longer is slow. */
+  /** A response that takes longer counts as slow. */
   slowThresholdMs: number;
-  /** The least time between two views to the same peer. */
+  /** The minimum time between two views sent to the same peer. */
   minViewIntervalMs: number;
-  /** A peer's view counts for so long. */
+  /** A peer's view expires after this time. */
   viewTtlMs: number;
-  /** Expected traffic is missed after so long. */
+  /** Expected heartbeats count as missing after this time. */
   silenceMs: number;
-  /** A gap between two ticks of more than this shows that the process stood still. */
+  /** A longer gap between two ticks shows that this process stalled. */
   stallMs: number;
   moveBackoffMs: number;
   maxMoveBackoffMs: number;
 }
 
-/** An answer that takes more than this part of a call's time-out is slow. */
+/** A response that takes more than this fraction of the call's time-out counts as slow. */
 const SLOW_TIMEOUT_FRACTION = 0.5;
-/** A worker reports within one and a quarter of its interval. */
+/** In heartbeat intervals. Workers report at most 1.25 intervals apart, so this leaves a margin. */
 const SILENCE_HEARTBEAT_INTERVALS = 1.5;
 const STALL_TICKS = 5;
-/** A view outlives the loss of one or two frames. */
+/** In view intervals: one or two lost frames do not make a view expire. */
 const VIEW_TTL_EXTRA_INTERVALS = 3;
 
-/** What the settings come to. */
+/** Derives the link monitor's durations from the settings. */
 export function deriveLinkTimings(settings: LinkSettings, inputs: LinkTimingInputs): LinkTimings {
   const { heartbeatIntervalMs, leaseMs, callTimeoutMs, tickMs, shardMovePeriodMs } = inputs;
   const recoverMs = settings.recover_after_reports * heartbeatIntervalMs;
--- a/src/links/silence-detector.ts
+++ b/src/links/silence-detector.ts
@@ -1,6 +1,6 @@
 /**
- * Notices expected traffic that does not come: heartbeats of owned shards' workers, and health checks of the users' load
- * balancer. Time is that of the stall-aware clock, except for the age of peers' views.
+ * Detects missing traffic: heartbeats of owned shards' workers, and health checks of the users' load balancer. Time is
+ * that of the stall-aware clock, except for the age of peers' views.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import { HeartbeatRate } from "./heartbeat-rate.js";
@@ -11,43 +11,43 @@
 import type { LinkTimings } from "./settings.js";
 import type { StallAwareClock } from "./stall-aware-clock.js";
 
-/** The fraction of a shard's machines that must turn to peers before responses count as lost. */
+/** The fraction of owned machines that peers must report as misrouted before responses count as lost. */
 const LOST_RESPONSES_FRACTION = 0.5;
 
-/** What a silence detector is made from. */
+/** Dependencies of a `SilenceDetector`. */
 export interface SilenceDetectorDependencies {
   readonly clock: SteadyClock;
   readonly stallAwareClock: StallAwareClock;
   readonly table: LinkTable;
   readonly views: PeerViews;
   readonly timings: LinkTimings;
-  /** Without a health check for so long, the users' load balancer counts as silent; milliseconds. */
+  /** The users' load balancer counts as silent after this time without a health check, in milliseconds. */
   readonly usersSilenceMs: number;
 }
 
-/** Turns missing traffic into failures of the workers' and the users' links. */
+/** Records missing traffic as failures of the workers' and the users' links. */
 export class SilenceDetector {
   private readonly heartbeatRate: HeartbeatRate;
-  /** Whether most workers of the owned shards turn to peers, although they are answered here. */
+  /** Whether most workers of the owned shards are misrouted to peers although this controller responds to them. */
   private areResponsesLost = false;
-  /** Since when workers have been expected to send heartbeats. */
+  /** When this controller began to expect heartbeats; null while it owns no machines. */
   private workersExpectedSince: number | null = null;
 
   constructor(private readonly dependencies: SilenceDetectorDependencies) {
     this.heartbeatRate = new HeartbeatRate(dependencies.timings.heartbeatIntervalMs);
   }
 
-  /** Whether responses to workers are found not to arrive. */
+  /** Whether responses to workers do not arrive. */
   get hasLostResponses(): boolean {
     return this.areResponsesLost;
   }
 
-  /** A heartbeat of an owned shard's worker came in. */
+  /** Records a heartbeat of an owned shard's worker. */
   recordHeartbeat(): void {
     this.heartbeatRate.record();
   }
 
-  /** While this process is late itself, missing traffic proves nothing; counting starts anew once it is in time. */
+  /** Discards counts and failures while this process is delayed itself, since missing traffic then proves nothing. */
   reset(): void {
     const { stallAwareClock, table } = this.dependencies;
     const now = stallAwareClock.now();
@@ -57,20 +57,20 @@
       if (link === "workers" || link === "users") tracker.clearFailures(now);
   }
 
-  /** Records what has been silent for too long; to be called at every tick. */
+  /** Records links that have been silent for too long. Call at every tick. */
   check(shards: readonly OwnedShardStatus[]): void {
     this.checkWorkers(shards);
     this.checkUsers();
   }
 
-  /** Workers of owned shards are expected to send heartbeats, and to stay with this controller. */
+  /** Workers of owned shards should send heartbeats to this controller and not to peers. */
   private checkWorkers(shards: readonly OwnedShardStatus[]): void {
     const { stallAwareClock, table, timings } = this.dependencies;
     const now = stallAwareClock.now();
     const machines = shards.reduce((sum, shard) => sum + shard.machines, 0);
     const misrouted = shards.reduce((sum, shard) => sum + this.countMisrouted(shard), 0);
     this.heartbeatRate.update(now, machines);
-    // Late copies of heartbeats reach peers as well, but they do not keep a worker from reporting here as often as ever.
+    // Peers may also receive late copies of heartbeats, but then heartbeats still arrive here at the normal rate.
     this.areResponsesLost =
       machines > 0 && this.heartbeatRate.isSparse && misrouted >= LOST_RESPONSES_FRACTION * machines;
     if (this.areResponsesLost) table.tracker("workers", "outbound")?.recordFailure(now, "answers_lost");
@@ -85,7 +85,7 @@
     return Math.max(0, ...views.map((view) => misroutedWorkersSeenBy(view, shard)));
   }
 
-  /** A load balancer that has asked before is expected to go on asking. */
+  /** A load balancer that has sent health checks before should continue to send them. */
   private checkUsers(): void {
     const { table, usersSilenceMs } = this.dependencies;
     const lastDeliveredAt = table.tracker("users", "inbound")?.lastDeliveredAt ?? -Infinity;
--- a/src/links/stall-aware-clock.ts
+++ b/src/links/stall-aware-clock.ts
@@ -1,20 +1,20 @@
 /**
- * Time that this process was awake for. A process that stood still, or has too little processor time for what comes in, has
- * missed traffic that did arrive, so that its own delays must not count as anybody's silence.
+ * A clock that leaves out stalls of this process. A process that stalled, or is short of CPU time, has not yet processed
+ * traffic that did arrive, so its own delays must not count as silence of others.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { LinkTimings } from "./settings.js";
 
-/** Ticks that come so many times later than they should, on average, show that the process is short of processor time. */
+/** The mean ratio of actual to configured tick intervals above which this process is short of CPU time. */
 const STARVATION_RATIO = 1.5;
-/** How much one tick moves the average. */
+/** The weight of one tick in the moving average. */
 const TICK_RATIO_WEIGHT = 0.3;
 
-/** Advances with the steady clock, but no further over a stall than a late tick takes. */
+/** Advances with the steady clock, but by at most `stallMs` between two ticks. */
 export class StallAwareClock {
   private runningMs = 0;
   private lastTickAt: number;
-  /** The fading mean of gaps between ticks, as a ratio to the wanted one. */
+  /** The exponential moving average of the gap between ticks, as a ratio to `tickMs`. */
   private meanTickRatio = 1;
   private delayedUntil = -Infinity;
 
@@ -25,24 +25,24 @@
     this.lastTickAt = clock();
   }
 
-  /** The awake time now. */
+  /** The time that this process has been running without stalls, in milliseconds. */
   now(): number {
     return this.runningMs + Math.min(this.clock() - this.lastTickAt, this.timings.stallMs);
   }
 
-  /** To be called at every tick. */
+  /** Advances the clock and updates the tick average. Call at every tick. */
   tick(): void {
     const { tickMs, stallMs, silenceMs } = this.timings;
     const now = this.clock();
     const gap = now - this.lastTickAt;
     this.meanTickRatio += TICK_RATIO_WEIGHT * (Math.min(gap, stallMs) / tickMs - this.meanTickRatio);
-    // For a while afterwards the process works off what has come meanwhile.
+    // After a stall the process needs some time to process the traffic that arrived meanwhile.
     if (gap > stallMs || this.meanTickRatio > STARVATION_RATIO) this.delayedUntil = now + silenceMs;
     this.runningMs += Math.min(gap, stallMs);
     this.lastTickAt = now;
   }
 
-  /** Whether the process stood still, or was short of processor time, lately. */
+  /** Whether this process recently stalled or was short of CPU time. */
   get isDelayed(): boolean {
     return this.clock() < this.delayedUntil;
   }
--- a/src/links/status.ts
+++ b/src/links/status.ts
@@ -1,10 +1,10 @@
-/** What operators are shown of one controller's links, as JSON and as text. */
+/** The status of one controller's links that operators see, as JSON and as text. */
 import * as z from "zod";
 import { DIRECTIONS, LINK_STATES, type Direction, type LinkState } from "./model.js";
 import { ACTIVITIES, DECISIONS, LOSSES } from "./degradation-policy.js";
 import { MONITOR_MODES } from "./settings.js";
 
-/** Checked where it comes from another controller; fields of a newer program are ignored. */
+/** Validates a status received from another controller. Fields of a newer version are ignored. */
 const linkStatusSchema = z.object({
   node: z.string(),
   mode: z.enum(MONITOR_MODES),
@@ -27,14 +27,14 @@
       reason: z.string(),
     }),
   ),
-  /** Peers' views that were dropped since the start, by reason. */
+  /** Number of peers' views dropped since the process started, by reason. */
   droppedViews: z.record(z.string(), z.int().nonnegative()),
 });
 
-/** One controller's links, and what it may do. */
+/** The states of one controller's links, and the activities that its policy allows. */
 export type LinkStatus = z.infer<typeof linkStatusSchema>;
 
-/** What a controller answers whose monitor is off. */
+/** The status of a controller whose link monitor is off. */
 export const statusWhileOff = (node: string): LinkStatus => ({
   node,
   mode: "off",
@@ -44,7 +44,7 @@
   droppedViews: {},
 });
 
-/** Reads a status that came as text; null where it is none. */
+/** Parses a status from JSON text; returns null if it is invalid. */
 export function parseLinkStatus(text: string): LinkStatus | null {
   let raw: unknown;
   try {
@@ -55,12 +55,12 @@
   return linkStatusSchema.safeParse(raw).data ?? null;
 }
 
-/** Whether something is lost, or a direction is down. */
+/** Whether a connection is lost or a direction of a link is down. */
 export function hasLostLink({ links, lost }: LinkStatus): boolean {
   return lost.length > 0 || links.some((link) => link.state === "down");
 }
 
-/** One line of a status for people. */
+/** A row of the link status table. */
 export interface StatusRow {
   link: string;
   direction: Direction;
@@ -69,7 +69,7 @@
   evidence: string;
 }
 
-/** The links of a status as rows of a table. */
+/** Formats the links of a status as table rows. */
 export function statusRows({ links }: LinkStatus): StatusRow[] {
   return links.map(({ link, direction, state, forMs, evidence, scope }) => ({
     link,
@@ -80,7 +80,7 @@
   }));
 }
 
-/** What is not allowed now, a line for each activity. */
+/** Describes each activity that is not allowed now in one line. */
 export function restrictionLines({ activities, mode }: LinkStatus): string[] {
   const verb = mode === "enforce" ? "is" : "would be";
   return activities
--- a/src/links/view-sender.ts
+++ b/src/links/view-sender.ts
@@ -1,11 +1,11 @@
-/** Makes the views of this controller's links that are attached to frames to peers. */
+/** Creates the views of this controller's links that are attached to frames to peers. */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { LinkTable } from "./link-table.js";
 import { encodeView, VIEW_VERSION } from "./link-view.js";
 import type { MisroutedWorkers } from "./misrouted-workers.js";
 import type { StallAwareClock } from "./stall-aware-clock.js";
 
-/** What a sender is made from. */
+/** Dependencies of a `ViewSender`. */
 export interface ViewSenderDependencies {
   readonly node: string;
   readonly incarnation: string;
@@ -13,18 +13,18 @@
   readonly stallAwareClock: StallAwareClock;
   readonly table: LinkTable;
   readonly misrouted: MisroutedWorkers;
-  /** The least time between two views to the same peer, in milliseconds. */
+  /** The minimum time between two views sent to the same peer, in milliseconds. */
   readonly minIntervalMs: number;
 }
 
-/** Encodes views, each with a higher sequence number than the last. */
+/** Encodes views with increasing sequence numbers. */
 export class ViewSender {
   private readonly sentAt = new Map<string, number>();
   private sequence = 0;
 
   constructor(private readonly dependencies: ViewSenderDependencies) {}
 
-  /** The view to attach to a frame to a peer; undefined if it is not time for one yet. */
+  /** Returns the view to attach to a frame to a peer; undefined if the last one was sent too recently. */
   nextViewFor(peer: string): Uint8Array | undefined {
     const { node, incarnation, clock, table, misrouted, minIntervalMs } = this.dependencies;
     const now = clock();
--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -1,4 +1,4 @@
-/** What the link monitor costs, counted: looks at the clock, observations and probes, never time. */
+/** Cost of the link monitor in counts of clock reads, probes and views, so that no test depends on elapsed time. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { LinkName } from "../src/links/model.js";
@@ -10,7 +10,7 @@
 
 const PEERS = ["b", "c", "d"];
 
-/** A monitor, a clock that counts who looks at it, and the probes that were sent. */
+/** Creates a monitor with a clock that counts its reads, and records the probes that it sends. */
 function createMonitor(machines: number, mode: "observe" | "enforce" = "enforce") {
   let now = 0;
   const counts = { clockReads: 0, probes: [] as LinkName[] };
@@ -62,13 +62,13 @@
   return { report, tick: counts.clockReads };
 }
 
-test("a report and a tick cost the same with 4,000 machines as with ten", () => {
+test("a heartbeat and a tick read the clock as often with 4,000 machines as with ten", () => {
   const [few, many] = [countClockReads(10), countClockReads(4000)];
   assert.deepEqual(many, few);
-  assert.ok(many.report <= 2, `${many.report} looks at the clock a report`);
+  assert.ok(many.report <= 2, `${many.report} clock reads per heartbeat`);
 });
 
-test("quiet peers are asked twice in the time after which they are unknown, and an idle cloud is not asked", () => {
+test("idle peers are probed twice per idle time-out, and an idle cloud is not probed", () => {
   const { monitor, counts, tick } = createMonitor(10);
   const probeCounts = new Map<LinkName, number>();
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
@@ -84,14 +84,14 @@
       probeCounts.set(link, (probeCounts.get(link) ?? 0) + 1);
     }
   }
-  // Every half of four report intervals.
+  // An idle link is probed after half of the idle time-out of four heartbeat intervals.
   for (const peer of PEERS) {
     const count = probeCounts.get(`peer:${peer}`) ?? 0;
-    assert.ok(count >= 10 && count <= 60_000 / 4000 + 1, `${count} questions a minute`);
+    assert.ok(count >= 10 && count <= 60_000 / 4000 + 1, `${count} probes per minute`);
   }
 });
 
-test("a controller that finds the state service failing asks each peer at most once a report interval", () => {
+test("while the state service fails, each peer is probed at most once per heartbeat interval", () => {
   const { monitor, counts, tick } = createMonitor(10);
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
     tick();
@@ -103,7 +103,7 @@
   );
 });
 
-test("views go to a peer at most every half report interval, whoever asks for one", () => {
+test("a view is sent to a peer at most once per half heartbeat interval, however often one is requested", () => {
   const { monitor, tick } = createMonitor(10);
   let sentViews = 0;
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
@@ -113,8 +113,8 @@
   assert.ok(sentViews <= 60_000 / (HEARTBEAT_INTERVAL_MS / 2), `${sentViews} views a minute`);
 });
 
-// Fails if a monitor that only observes counts hand-overs, or keeps shards from peers.
-test("a monitor that observes restricts nothing, and shows what would be", () => {
+// Guards against a monitor in observe mode that applies the hand-over back-off or excludes peers from shards.
+test("a monitor in observe mode restricts nothing but reports lost connections", () => {
   const { monitor, tick } = createMonitor(10, "observe");
   for (let i = 0; i < 20; i++) {
     tick();
@@ -122,7 +122,7 @@
   }
   assert.deepEqual(monitor.status().lost, ["state"]);
   for (const activity of ACTIVITIES) assert.ok(monitor.allows(activity) && !monitor.refuses(activity));
-  for (let i = 0; i < 3; i++) assert.ok(monitor.tryHandOver(0), "no hand-over waits for another");
+  for (let i = 0; i < 3; i++) assert.ok(monitor.tryHandOver(0), "hand-overs have no back-off");
   const workers = { link: "workers", direction: "inbound" as const, state: "down" as const };
   const view = {
     version: VIEW_VERSION,
--- a/test/links-properties.test.ts
+++ b/test/links-properties.test.ts
@@ -1,4 +1,4 @@
-/** Properties of the link monitor's pure parts, for generated inputs; seeded, so that a run repeats. */
+/** Property-based tests of the link monitor's pure parts, with a fixed seed so that runs are reproducible. */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { test } from "node:test";
@@ -33,7 +33,7 @@
 const losses = fc.subarray([...LOSSES]).map((list) => new Set<Loss>(list));
 const STRICTNESS: Record<Decision, number> = { allowed: 0, delegated: 1, refused: 2 };
 
-test("a further loss never allows more, but for leading where no peer is left to lead", () => {
+test("a further loss never relaxes a rule, except that leading is allowed if no peer is reached", () => {
   const holds = (some: Set<Loss>, more: Set<Loss>): void => {
     const [fewer, all] = [rulesForLosses(some), rulesForLosses(new Set([...some, ...more]))];
     for (const activity of ACTIVITIES)
@@ -43,7 +43,7 @@
   fc.assert(fc.property(losses, losses, holds), RUNS);
 });
 
-test("without the state service nothing is accepted, cancelled, ordered, returned or moved here, whatever else is lost", () => {
+test("without the state service nothing is accepted, cancelled, polled, ordered, returned or moved, whatever else is lost", () => {
   const holds = (others: Set<Loss>, loss: Loss): void => {
     const rules = rulesForLosses(new Set([...others, loss]));
     for (const activity of ["accept", "cancel", "poll", "order", "return", "move"] as const)
@@ -52,14 +52,14 @@
   fc.assert(fc.property(losses, fc.constantFrom<Loss>("state", "state_for_all"), holds), RUNS);
 });
 
-test("whatever is not allowed says why, and nothing is passed on to peers that are lost", () => {
+test("every rule that is not allowed has a reason, and nothing is delegated to lost peers", () => {
   const holds = (lost: Set<Loss>): void => {
     for (const rule of Object.values(rulesForLosses(lost))) {
       if (rule.decision !== "allowed") assert.notEqual(rule.reason, "");
       if (lost.has("peers")) assert.notEqual(rule.decision, "delegated");
     }
     for (const rule of Object.values(rulesForLosses(lost, true))) {
-      assert.notEqual(rule.decision, "delegated", "a controller without peers passes nothing on");
+      assert.notEqual(rule.decision, "delegated", "a controller without peers delegates nothing");
     }
   };
   fc.assert(fc.property(losses, holds), RUNS);
@@ -77,7 +77,7 @@
   { maxLength: 200 },
 );
 
-/** Plays traffic into a tracker; the answer is the time at its end. */
+/** Applies traffic to a tracker and returns the time at its end. */
 function applyTraffic(
   tracker: DirectionTracker,
   traffic: Step[],
@@ -94,7 +94,7 @@
   return now;
 }
 
-test("a direction is down only after failures for long enough without a success, and never right after one", () => {
+test("a direction is down only after failures for `downAfterMs` without a success", () => {
   const holds = (traffic: Step[]): void => {
     const tracker = new DirectionTracker(timings);
     let failingSince: number | null = null;
@@ -108,7 +108,7 @@
   fc.assert(fc.property(steps, holds), RUNS);
 });
 
-test("whatever came before, a direction that works for the bound of recovery is up, and one that fails is down", () => {
+test("after any history, a direction is up after the maximum recovery time and down after `downAfterMs` of failures", () => {
   const steadyTraffic = (outcome: Step["outcome"], ms: number): Step[] =>
     Array.from({ length: Math.ceil(ms / 400) }, () => ({ after: 400, outcome }));
   const holds = (traffic: Step[]): void => {
@@ -122,7 +122,7 @@
   fc.assert(fc.property(steps, holds), RUNS);
 });
 
-test("a link that flaps at the period of a lease changes state less and less often, down to the bound", () => {
+test("a direction that flaps at the period of a lease becomes up at most twice in 80 leases", () => {
   const tracker = new DirectionTracker(timings);
   const LEASE_MS = 10_000;
   const upTransitionsAt: number[] = [];
@@ -135,10 +135,10 @@
     if (tracker.state === "up" && before !== "up") upTransitionsAt.push(now);
     before = tracker.state;
   });
-  assert.ok(upTransitionsAt.length <= 2, `trusted ${upTransitionsAt.length} times in 80 leases`);
+  assert.ok(upTransitionsAt.length <= 2, `up ${upTransitionsAt.length} times in 80 leases`);
 });
 
-test("only silence that peers corroborate, and no stall of one's own, counts as down", () => {
+test("silence counts as down only if peers corroborate it, and nothing counts as down after a stall", () => {
   const anyVotes = fc.record({
     working: fc.subarray(["b", "c", "d"]),
     failing: fc.subarray(["e", "f"]),
@@ -194,7 +194,7 @@
   plain,
 );
 
-test("bytes that are no view are dropped, and views come back as they were sent", () => {
+test("arbitrary bytes never make decoding throw, and an encoded view decodes to the same view", () => {
   fc.assert(
     fc.property(fc.uint8Array({ maxLength: 200 }), (bytes) => {
       const result = decodeView(bytes);
@@ -211,7 +211,7 @@
   assert.deepEqual(decodeView(new Uint8Array(20_000)), { ok: false, reason: "malformed" });
 });
 
-test("of one process no older view follows a newer one, and none of a replaced process counts", () => {
+test("views older than the latest of an incarnation, or from a replaced incarnation, are dropped", () => {
   const holds = (views: LinkView[]): void => {
     const peerViews = new PeerViews(new Set(["b", "c"]), 1000);
     const newest = new Map<string, number>();
@@ -220,8 +220,8 @@
     for (const sent of views) {
       if (!peerViews.receive(encodeView(sent), 0).ok) continue;
       const process = `${sent.node}/${sent.incarnation}`;
-      assert.ok(!replaced.has(process), "a replaced process is not believed");
-      assert.ok(sent.sequence >= (newest.get(process) ?? 0), "no older view is believed");
+      assert.ok(!replaced.has(process), "a view of a replaced incarnation was accepted");
+      assert.ok(sent.sequence >= (newest.get(process) ?? 0), "an older view was accepted");
       newest.set(process, sent.sequence);
       const former = current.get(sent.node);
       if (former !== undefined && former !== process) replaced.add(former);
@@ -231,7 +231,7 @@
   fc.assert(fc.property(fc.array(view, { maxLength: 30 }), holds), RUNS);
 });
 
-test("hand-overs for the same cause wait twice as long each time, up to the bound", () => {
+test("the back-off doubles with each attempt for the same key, up to its maximum", () => {
   const backoff = new Backoff<number>({ initialMs: 30_000, maxMs: 240_000 });
   const attemptTimes: number[] = [];
   for (let now = 0; now < 2_000_000; now += 1000)
@@ -241,27 +241,27 @@
     }
   const waits = attemptTimes.slice(1).map((time, i) => time - attemptTimes[i]!);
   assert.deepEqual(waits.slice(0, 5), [30_000, 60_000, 120_000, 240_000, 240_000]);
-  assert.ok(backoff.canAttempt(1, 0), "another shard does not wait");
+  assert.ok(backoff.canAttempt(1, 0), "another key has no back-off");
 });
 
-test("of 4,000 workers each counts once, costs one entry, and is forgotten after the window", () => {
+test("each of 4,000 misrouted workers counts once per term, and not after the window", () => {
   const MACHINES = 4000;
   const misrouted = new MisroutedWorkers(8000, MACHINES);
   for (let now = 0; now < 4; now++)
     for (let i = 0; i < 2 * MACHINES; i++) misrouted.record(3, 7, `i-${i}`, now);
   assert.deepEqual(misrouted.counts(4), [{ shard: 3, term: 7, workers: MACHINES }]);
   misrouted.record(3, 8, "i-1", 5);
-  assert.deepEqual(misrouted.counts(5), [{ shard: 3, term: 8, workers: 1 }], "another term begins afresh");
+  assert.deepEqual(misrouted.counts(5), [{ shard: 3, term: 8, workers: 1 }], "a new term starts a new count");
   assert.deepEqual(misrouted.counts(8006), []);
 });
 
-test("the operators' page shows the policy as it is", () => {
+test("the policy table in the operators' documentation matches the code", () => {
   const page = readFileSync("docs/operating-links.md", "utf8");
   const shown =
     /printed by src\/links\/degradation-policy-table.ts -->\n([^]*?)<!-- end of policy table/.exec(
       page,
     )?.[1] ?? "";
-  // The page's formatter pads cells and rules.
+  // The formatter of the documentation pads cells and delimiter rows.
   const cells = (table: string): string[][] =>
     table
       .trim()
--- a/test/links-traces.test.ts
+++ b/test/links-traces.test.ts
@@ -1,4 +1,4 @@
-/** Traces of the link monitor: evidence and peers' views in, states, rules and steps out. */
+/** Replays traces of the link monitor: observations and peers' views as input; states, rules and actions as output. */
 import { pino } from "pino";
 import { LinkMonitor, type LinkMonitorOptions } from "../src/links/monitor.js";
 import type { Direction, LinkName, Observation } from "../src/links/model.js";
@@ -6,10 +6,10 @@
 import { defaultLinkTimings, TICK_MS } from "./support/link-timings.js";
 import { list, number, traceTests, type Step, type TraceEvent } from "./support/trace.js";
 
-/** The present term of each shard's owner. */
+/** The current term of each shard's owner. */
 const TERM = 7;
 
-/** One line of the monitor's log. */
+/** A line of the monitor's log. */
 interface LogLine {
   msg: string;
   link?: string;
@@ -59,7 +59,7 @@
       ownedShards: () => this.shards,
       isLeader: () => this.isLeader,
       isMember: (node: string) => this.members.includes(node),
-      // How often peers are asked is counted elsewhere; here it would hide what matters.
+      // Probes of peers are left out of the traces; links-cost.test.ts counts them.
       probe: (link: LinkName) => {
         if (link === "cloud") this.outputs.push("probe cloud");
       },
@@ -131,7 +131,10 @@
     this.monitor.tell({ kind: "observed", observation });
   }
 
-  /** Time passes in ticks, at each of which the given traffic passes: `ok:LINK`, `refused:LINK`, `lost:LINK`, `in:LINK`. */
+  /**
+   * Advances time in ticks and applies the given traffic at each: `ok:LINK`, `slow:LINK`, `refused:LINK`, `lost:LINK`,
+   * `in:LINK`, `out:LINK`, or `view:NODE:NOTE…` with notes as in `viewBytes`.
+   */
   private wait(ms: number, traffic: string[], event: TraceEvent): void {
     const until = this.now + ms;
     let sequence = number(event, "seq", 0);
@@ -155,7 +158,10 @@
   }
 }
 
-/** A view of a peer whose links are given as `LINK~STATE`, or `misrouted~SHARD/COUNT`, with `/TERM` of another term. */
+/**
+ * Encodes a view of a peer. Notes are `LINK~STATE`, or `misrouted~SHARD/COUNT` with an optional `/TERM` (default: the
+ * current term).
+ */
 function viewBytes(
   node: string,
   sequence: number,
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -1,7 +1,7 @@
 /**
- * Measures the link monitor in simulated time: how soon a cut shows and something is done about it, what it finds where
- * nothing is cut, what it costs, and what is done meanwhile with and without the policy. Not part of CI:
- * `npm run measure:links -- FOLDER [SEEDS]` writes results.json and an HTML report with plots.
+ * Measures the link monitor in simulated time: the time to detect a cut and to react to it, false alarms, cost, and the
+ * progress of tasks during cuts with and without the policy. Not part of CI: `npm run measure:links -- FOLDER [SEEDS]`
+ * writes results.json and an HTML report with plots.
  */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
@@ -17,26 +17,27 @@
 const GIVE_UP_MS = 60_000;
 const WARM_UP_MS = 30_000;
 
-/** How long something took, in report intervals, by seed; null where it did not happen within a minute. */
+/** Reaction times to a cut in heartbeat intervals, one per seed; null for what did not happen within `GIVE_UP_MS`. */
 export interface Reaction {
   link: ScheduledLink;
   direction: Direction;
+  /** From the cut until the link is reported as down. */
   shown: (number | null)[];
-  /** Until somebody else does what this controller cannot; empty where nothing is to be done. */
+  /** From the cut until another controller has taken over; empty if the link calls for no take-over. */
   handled: (number | null)[];
-  /** From healing until the link is up again. */
+  /** From the end of the cut until the link is up again. */
   recovered: (number | null)[];
 }
 
-/** What the monitor found where no link was cut. */
+/** Transitions to down while no link was cut. */
 export interface FalseAlarms {
   schedule: string;
   minutes: number;
-  /** Transitions to down, by link and direction. */
+  /** Number of transitions to down, by link and direction. */
   downs: Record<string, number>;
 }
 
-/** What a minute of a deployment costs. */
+/** The cost of a deployment per simulated minute. */
 export interface Cost {
   mode: MonitorMode;
   peerQuestions: number;
@@ -44,16 +45,17 @@
   cpuMs: number;
 }
 
-/** What was done while links were cut. */
+/** The progress of tasks while links were cut. */
 export interface Progress {
   mode: MonitorMode;
   tasksDone: number;
   starts: number;
   shardMoves: number;
+  /** Number of invariant violations. */
   broken: number;
 }
 
-/** All that is measured. */
+/** The results of all measurements. */
 export interface Measurements {
   seeds: number;
   reportMs: number;
@@ -68,7 +70,7 @@
   return Simulation.start(CONTROLLERS, seed, { teams: TEAMS, operator: { links: { mode } } });
 }
 
-/** Plays something in a deployment of its own. */
+/** Runs a function with a deployment of its own. */
 async function withSimulation<T>(
   seed: number,
   mode: MonitorMode,
@@ -87,7 +89,7 @@
   return links.some((of) => of.link.startsWith(link) && of.direction === direction && of.state === state);
 }
 
-/** Report intervals until something holds; null if it never does. */
+/** Returns the heartbeat intervals until a condition holds; null if it does not within `GIVE_UP_MS`. */
 async function reportIntervalsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
   const since = world.now;
   const happened = await world.runUntil(met, GIVE_UP_MS);
@@ -114,7 +116,7 @@
     const since = world.now;
     const handled = takeoverCheck(world, node, link);
     const after: { shown: number | null; handled: number | null } = { shown: null, handled: null };
-    // A shard that has passed on leaves no workers to be missed: what comes first ends the other's chance.
+    // After a hand-over this controller has no workers left to miss, so the link may not be reported as down later.
     await world.runUntil(() => {
       const reports = (world.now - since) / world.settings.workers.heartbeatIntervalMs;
       if (hasLinkInState("down", node, shown, direction)) after.shown ??= reports;
@@ -132,7 +134,7 @@
   });
 }
 
-/** When another does what a cut controller cannot; null where there is nothing of the kind. */
+/** Returns a condition that holds once another controller has taken over; null if the link calls for no take-over. */
 function takeoverCheck(world: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
   if (link === "state" || link === "workers") return () => world.ownerOf(0) !== node;
   if (link === "cloud") return () => world.leader() !== undefined && world.leader() !== node;
@@ -143,7 +145,7 @@
   const all: Reaction[] = [];
   for (const link of ["state", "workers", "peers", "cloud", "users"] as const)
     for (const direction of ["outbound", "inbound"] as const) {
-      // Users ask and are answered on one exchange: that answers are lost, the users alone can see.
+      // Only users can see that responses to them are lost, so the monitor reports no failure of this direction.
       if (link === "users" && direction === "outbound") continue;
       const reaction: Reaction = { link, direction, shown: [], handled: [], recovered: [] };
       for (let seed = 1; seed <= seeds; seed++) await measureReaction(seed, link, direction, reaction);
@@ -152,7 +154,7 @@
   return all;
 }
 
-/** Counts how often a link goes down although none is cut. */
+/** Counts transitions to down while no link is cut. */
 async function measureFalseAlarms(seeds: number): Promise<FalseAlarms[]> {
   const MINUTES = 3;
   const overload = (world: Simulation): void => {
@@ -226,7 +228,7 @@
   return all;
 }
 
-/** Cuts of one controller's link after the other, each direction, as a schedule for all modes alike. */
+/** Draws a schedule of consecutive cuts from the simulation's seeded generator, to compare the modes under cuts. */
 function randomSchedule(world: Simulation): ScheduledFault[] {
   const faults: ScheduledFault[] = [];
   for (let i = 0; i < 6; i++) {
--- a/test/support/link-cuts.ts
+++ b/test/support/link-cuts.ts
@@ -1,18 +1,21 @@
-/** Schedules of cuts, heals and restarts, played in a simulated deployment. */
+/** Schedules of link cuts, refusals, outages and restarts for a simulated deployment. */
 import { sleep } from "../../src/runtime/sleep.js";
 import type { Cut, Cuts, Simulation } from "./simulation.js";
 
-/** A link that a schedule cuts. */
+/** A link that a schedule can cut. */
 export type ScheduledLink = Exclude<keyof Cuts, "feed">;
 
-/** Something that goes wrong, when, and for how long. */
+/** A fault with its start time and duration, in milliseconds of simulated time. */
 export type ScheduledFault =
   | { kind: "cut"; at: number; node: number; link: ScheduledLink; cut: Cut; forMs: number }
   | { kind: "restart"; at: number; node: number; awayMs: number }
   | { kind: "refused"; at: number; node: number; forMs: number }
   | { kind: "outage"; at: number; forMs: number };
 
-/** Plays all faults of a schedule; resolves when the last is over. Cuts of one link that overlap end with the last. */
+/**
+ * Injects all faults of a schedule, and resolves when the last has ended and all links are restored. If cuts of one link
+ * overlap, the end of the first restores the link.
+ */
 export async function runSchedule(world: Simulation, schedule: ScheduledFault[]): Promise<void> {
   await Promise.all(schedule.map((fault) => runFault(world, fault)));
   for (const node of world.nodes)
--- a/test/support/link-timings.ts
+++ b/test/support/link-timings.ts
@@ -1,13 +1,13 @@
-/** Durations of the link monitor for tests, from the default settings. */
+/** Durations of the link monitor for tests, derived from the default settings. */
 import { deriveLinkTimings, linkSettingsSchema, type LinkTimings } from "../../src/links/settings.js";
 
-/** The time between two ticks of the monitor, in milliseconds. */
+/** The tick interval of the monitor, in milliseconds. */
 export const TICK_MS = 400;
 
-/** The interval between two heartbeats of a worker, in milliseconds. */
+/** The heartbeat interval of a worker, in milliseconds. */
 export const HEARTBEAT_INTERVAL_MS = 2000;
 
-/** The durations that follow from the default settings, for heartbeats every two seconds and a lease of ten. */
+/** Returns the durations for default settings, heartbeats every 2 s and a lease of 10 s. */
 export function defaultLinkTimings(): LinkTimings {
   return deriveLinkTimings(linkSettingsSchema.parse({}), {
     heartbeatIntervalMs: HEARTBEAT_INTERVAL_MS,
