--- a/src/links/backoff.ts
+++ b/src/links/backoff.ts
@@ -12,8 +12,8 @@
 }
 
 /**
- * Tracks per key when the next attempt is allowed. Each attempt doubles the wait up to `maxMs`; a key without an attempt
- * for twice its wait plus `initialMs` starts again at `initialMs`.
+ * Tracks per key when the next attempt is allowed. Each attempt doubles the wait up to `maxMs`; a key without an
+ * attempt for twice its wait plus `initialMs` starts again at `initialMs`.
  */
 export class Backoff<Key> {
   private readonly attempts = new Map<Key, Attempt>();
--- a/src/links/degradation-policy.ts
+++ b/src/links/degradation-policy.ts
@@ -1,6 +1,6 @@
 /**
- * The degradation policy: which activities a controller may perform while some of its links are down, which it delegates
- * to peers, and what each needs as proof. The table in the operators' documentation is printed from it.
+ * The degradation policy: which activities a controller may perform while some of its links are down, which it
+ * delegates to peers, and what each needs as proof. The table in the operators' documentation is printed from it.
  *
  * The policy never relaxes a safety rule: leases, fencing tokens and guarded transactions apply whatever it allows. It
  * only keeps a controller from starting work that it could not record or that a peer can do better.
@@ -90,7 +90,7 @@
     return: refused(STATE_SERVICE_UNREACHED),
     move: refused(STATE_SERVICE_UNREACHED),
   },
-  // Until the outage ends no controller can confirm a cancellation or take over a shard, so the lease is enough to start.
+  // During an outage for all, no controller can confirm a cancellation or take over a shard: the lease is proof enough.
   state_for_all: {
     accept: refused("the state service is down for all"),
     cancel: refused("the state service is down for all"),
--- a/src/links/diagnosis.ts
+++ b/src/links/diagnosis.ts
@@ -21,14 +21,14 @@
 }
 
 /**
- * Derives the state to report. An outage for all, a refusal of this controller alone and a stall of this process look the
- * same to a single controller; peers' views tell them apart. If they do not, silence alone is reported as unknown instead
- * of down.
+ * Derives the state to report. An outage for all, a refusal of this controller alone and a stall of this process look
+ * the same to a single controller; peers' views tell them apart. If they do not, silence alone is reported as unknown
+ * instead of down.
  */
-export function diagnose(finding: DiagnosisInput): Diagnosis {
-  const { state, evidence, votes } = finding;
+export function diagnose(input: DiagnosisInput): Diagnosis {
+  const { state, evidence, votes } = input;
   if (state !== "down") return { state, evidence, scope: "none" };
-  if (finding.isStalled) return { state: "unknown", evidence: "process_stalled", scope: "unclear" };
+  if (input.isStalled) return { state: "unknown", evidence: "process_stalled", scope: "unclear" };
   const scope = majorityScope(votes);
   // Workers that report to no controller may have ended, and users may simply send no requests.
   if (evidence === "silent" && scope !== "this_node")
--- a/src/links/direction-tracker.ts
+++ b/src/links/direction-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Derives the state of one direction of a link from the evidence about it. Deterministic: the time is an argument, taken
- * from the stall-aware clock, so that a stall of this process does not count as missing traffic.
+ * Derives the state of one direction of a link from the evidence about it. Deterministic: the time is an argument,
+ * taken from the stall-aware clock, so that a stall of this process does not count as missing traffic.
  */
 import type { Evidence, FailureCause, LinkState } from "./model.js";
 import type { LinkTimings } from "./settings.js";
@@ -72,13 +72,13 @@
   /** Records a response that took `latencyMs`. */
   recordAnswer(now: number, latencyMs: number): void {
     this.recordDelivery(now);
-    const slow = latencyMs > this.timings.slowThresholdMs ? 1 : 0;
-    this.slowFraction += SLOW_AVERAGE_WEIGHT * (slow - this.slowFraction);
+    const slowSample = latencyMs > this.timings.slowThresholdMs ? 1 : 0;
+    this.slowFraction += SLOW_AVERAGE_WEIGHT * (slowSample - this.slowFraction);
     if (this.slowFraction > SLOW_ENTER_FRACTION) this.isSlow = true;
     if (this.slowFraction < SLOW_EXIT_FRACTION) this.isSlow = false;
   }
 
-  /** Records that traffic was lost or refused; `since` is when it should have passed, if that was earlier than `now`. */
+  /** Records that traffic was lost or refused; `since` is when it should have passed, if earlier than `now`. */
   recordFailure(now: number, cause: FailureCause, since = now): void {
     if (this.failures === null) this.failures = { startedAt: since, lastAt: now, count: 1, cause };
     else {
@@ -130,7 +130,7 @@
     return Math.max(this.deliveredAt, this.failures?.lastAt ?? -Infinity);
   }
 
-  /** Doubles the recovery time for each failure soon after a recovery, so that a flapping link does not move work around. */
+  /** Doubles the recovery time for each failure soon after a recovery, so a flapping link does not move work around. */
   private enterDown(now: number): void {
     this.hasBeenDown = true;
     const isFlapping = now - this.lastDownAt < this.timings.flapWindowMs + this.requiredRecoveryMs;
--- a/src/links/heartbeat-rate.ts
+++ b/src/links/heartbeat-rate.ts
@@ -29,7 +29,7 @@
     this.windowStart = now;
   }
 
-  /** Evaluates the window if it is complete. Call at every tick with the number of workers that should send heartbeats. */
+  /** Evaluates the window once it is complete. Call at every tick with the number of expected workers. */
   update(now: number, workerCount: number): void {
     const windowMs = now - this.windowStart;
     if (windowMs < WINDOW_HEARTBEAT_INTERVALS * this.heartbeatIntervalMs) return;
--- a/src/links/link-policy.ts
+++ b/src/links/link-policy.ts
@@ -7,7 +7,7 @@
   allows(activity: Activity): boolean;
   /** Whether an activity is refused and not delegated to peers either. */
   refuses(activity: Activity): boolean;
-  /** Whether a shard may be handed over because its workers reach a peer instead. A `true` result counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. If true, it counts as an attempt. */
   tryHandOver(shard: number): boolean;
   /** Whether a peer is known to have lost its workers, so that it should not be assigned shards. */
   isCutOffFromWorkers(node: string): boolean;
--- a/src/links/link-prober.ts
+++ b/src/links/link-prober.ts
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Probes a peer without recent traffic, and while a service fails here also a peer whose view is too old. The cloud is
-   * probed only if a peer reports it as down: the result decides which controller should lead.
+   * Probes a peer without recent traffic, and while a service fails here also a peer whose view is too old. The cloud
+   * is probed only if a peer reports it as down: the result decides which controller should lead.
    */
   private needsProbe(link: LinkName, tracker: DirectionTracker, now: number): boolean {
     const { peers, views, maxViewAgeMs, stallAwareClock } = this.dependencies;
--- a/src/links/misrouted-workers.ts
+++ b/src/links/misrouted-workers.ts
@@ -1,12 +1,13 @@
 /**
- * Tracks workers that send heartbeats to this controller although they hold another controller's token, a sign that they
- * cannot reach their owner. It keeps one entry per worker and needs no timer: expired entries are dropped on counting.
+ * Tracks workers that send heartbeats to this controller although they hold another controller's token, a sign that
+ * they cannot reach their owner. It keeps one entry per worker and needs no timer: expired entries are dropped on
+ * counting.
  */
 
 /** The number of workers of a shard that were recently misrouted. */
 export interface MisroutedCount {
   shard: number;
-  /** The version of the shard's record. Workers misrouted in an earlier owner's term say nothing about the current owner. */
+  /** The version of the shard's record. Workers misrouted in an earlier term say nothing about the current owner. */
   term: number;
   workers: number;
 }
--- a/src/links/monitor.ts
+++ b/src/links/monitor.ts
@@ -81,18 +81,18 @@
     const table = (this.table = new LinkTable(peers, timings, clock()));
     const views = (this.views = new PeerViews(new Set(peers), timings.viewTtlMs));
     const misrouted = (this.misrouted = new MisroutedWorkers(options.misroutedWindowMs, options.maxMachines));
-    const watched = { clock, stallAwareClock, table };
+    const sharedDependencies = { clock, stallAwareClock, table };
     this.viewSender = new ViewSender({
-      ...watched,
+      ...sharedDependencies,
       node,
       incarnation,
       misrouted,
       minIntervalMs: minViewIntervalMs,
     });
-    this.silence = new SilenceDetector({ ...watched, views, timings, usersSilenceMs });
+    this.silence = new SilenceDetector({ ...sharedDependencies, views, timings, usersSilenceMs });
     this.degradation = new DegradationState({ table, peers, mode, log });
     this.prober = new LinkProber({
-      ...watched,
+      ...sharedDependencies,
       views,
       budget: new ProbeBudget({ ...probes, minPeerIntervalMs: 2 * minViewIntervalMs }, clock),
       peers,
@@ -118,7 +118,7 @@
     return this.isEnforcing && this.degradation.rules[activity].decision === "refused";
   }
 
-  /** Whether a shard may be handed over because its workers reach a peer instead. A `true` result counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. If true, it counts as an attempt. */
   tryHandOver(shard: number): boolean {
     return !this.isEnforcing || this.remediation.tryHandOver(shard);
   }
--- a/src/links/observed-json-client.ts
+++ b/src/links/observed-json-client.ts
@@ -5,7 +5,7 @@
 
 const HTTP_UNAVAILABLE = 503;
 
-/** A time-out that fires later than this multiple of it shows that this process was busy: the response may be waiting. */
+/** A time-out that fires later than this multiple of it shows that this process was busy: a response may be waiting. */
 const LATE_TIMEOUT_RATIO = 1.25;
 
 /** Whether a response means that the service refused the request. */
--- a/src/links/remediation-runner.ts
+++ b/src/links/remediation-runner.ts
@@ -38,7 +38,7 @@
     this.backoff = new Backoff({ initialMs: moveBackoffMs, maxMs: maxMoveBackoffMs });
   }
 
-  /** Whether a shard may be handed over because its workers reach a peer instead. A `true` result counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. If true, it counts as an attempt. */
   tryHandOver(shard: number): boolean {
     const now = this.dependencies.clock();
     if (!this.backoff.canAttempt(shard, now)) return false;
--- a/src/links/remediation.ts
+++ b/src/links/remediation.ts
@@ -55,8 +55,8 @@
 }
 
 /**
- * Returns the peer that most of the shard's workers send heartbeats to, among the peers that reach the state service and
- * have not lost their own workers; null if there is none, so that the shard stays.
+ * Returns the peer that most of the shard's workers send heartbeats to, among the peers that reach the state service
+ * and have not lost their own workers; null if there is none, so that the shard stays.
  */
 function bestSuccessor(peers: LinkView[], owned: OwnedShardStatus): string | null {
   let best: { node: string; workers: number } | null = null;
--- a/src/links/settings.ts
+++ b/src/links/settings.ts
@@ -6,18 +6,18 @@
 /** The mode of the link monitor. */
 export type MonitorMode = (typeof MONITOR_MODES)[number];
 
-const ratio = z.number().positive().max(1000);
+const intervalCountSchema = z.number().positive().max(1000);
 
 /** Schema of the `links` block in the operators' settings file. */
 export const linkSettingsSchema = z
   .strictObject({
     mode: z.enum(MONITOR_MODES).default("off"),
     /** Number of heartbeat intervals of continuous failure after which a link is down. */
-    down_after_reports: ratio.min(0.5).default(1.5),
+    down_after_reports: intervalCountSchema.min(0.5).default(1.5),
     /** Number of heartbeat intervals without a failure after which a link that was down is up again. */
-    recover_after_reports: ratio.default(2),
+    recover_after_reports: intervalCountSchema.default(2),
     /** Number of heartbeat intervals without traffic after which the state of a link is unknown. */
-    quiet_after_reports: ratio.min(1).default(4),
+    quiet_after_reports: intervalCountSchema.min(1).default(4),
     /** Each failure soon after a recovery doubles the recovery time, up to this multiple of it. */
     flap_bound: z.int().min(1).max(64).default(8),
     /** The share of the state service's and the cloud's request rates that probes of idle links may use. */
--- a/src/links/stall-aware-clock.ts
+++ b/src/links/stall-aware-clock.ts
@@ -1,6 +1,6 @@
 /**
- * A clock that leaves out stalls of this process. A process that stalled, or is short of CPU time, has not yet processed
- * traffic that did arrive, so its own delays must not count as silence of others.
+ * A clock that leaves out stalls of this process. A process that stalled, or is short of CPU time, has not yet
+ * processed traffic that did arrive, so its own delays must not count as silence of others.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { LinkTimings } from "./settings.js";
--- a/test/links-properties.test.ts
+++ b/test/links-properties.test.ts
@@ -43,7 +43,7 @@
   fc.assert(fc.property(losses, losses, holds), RUNS);
 });
 
-test("without the state service nothing is accepted, cancelled, polled, ordered, returned or moved, whatever else is lost", () => {
+test("without the state service no accept, cancel, poll, order, return or move is allowed, whatever else is lost", () => {
   const holds = (others: Set<Loss>, loss: Loss): void => {
     const rules = rulesForLosses(new Set([...others, loss]));
     for (const activity of ["accept", "cancel", "poll", "order", "return", "move"] as const)
@@ -108,7 +108,7 @@
   fc.assert(fc.property(steps, holds), RUNS);
 });
 
-test("after any history, a direction is up after the maximum recovery time and down after `downAfterMs` of failures", () => {
+test("after any history, steady traffic brings a direction up and steady failures bring it down", () => {
   const steadyTraffic = (outcome: Step["outcome"], ms: number): Step[] =>
     Array.from({ length: Math.ceil(ms / 400) }, () => ({ after: 400, outcome }));
   const holds = (traffic: Step[]): void => {
@@ -150,7 +150,7 @@
     isStalled: boolean,
     votes: { working: string[]; failing: string[] },
   ): void => {
-    const found = diagnose({
+    const diagnosis = diagnose({
       link: "workers",
       direction: "inbound",
       state,
@@ -158,15 +158,15 @@
       isStalled,
       votes,
     });
-    if (isStalled) assert.notEqual(found.state, "down");
-    if (evidence === "silent" && found.state === "down") assert.equal(found.scope, "this_node");
-    if (found.scope === "this_node") assert.ok(votes.working.length > votes.failing.length);
-    if (state !== "down") assert.equal(found.state, state);
+    if (isStalled) assert.notEqual(diagnosis.state, "down");
+    if (evidence === "silent" && diagnosis.state === "down") assert.equal(diagnosis.scope, "this_node");
+    if (diagnosis.scope === "this_node") assert.ok(votes.working.length > votes.failing.length);
+    if (state !== "down") assert.equal(diagnosis.state, state);
   };
   fc.assert(fc.property(fc.constantFrom(...LINK_STATES), anyEvidence, fc.boolean(), anyVotes, holds), RUNS);
 });
 
-const plain = { noNullPrototype: true };
+const recordOptions = { noNullPrototype: true };
 const view: fc.Arbitrary<LinkView> = fc.record(
   {
     version: fc.constant(VIEW_VERSION),
@@ -180,18 +180,21 @@
           direction: fc.constantFrom("outbound" as const, "inbound" as const),
           state: fc.constantFrom(...LINK_STATES),
         },
-        plain,
+        recordOptions,
       ),
       { maxLength: 4 },
     ),
     misrouted: fc.array(
-      fc.record({ shard: fc.nat(9), term: fc.nat(99), workers: fc.integer({ min: 1, max: 4000 }) }, plain),
+      fc.record(
+        { shard: fc.nat(9), term: fc.nat(99), workers: fc.integer({ min: 1, max: 4000 }) },
+        recordOptions,
+      ),
       {
         maxLength: 3,
       },
     ),
   },
-  plain,
+  recordOptions,
 );
 
 test("arbitrary bytes never make decoding throw, and an encoded view decodes to the same view", () => {
@@ -214,18 +217,18 @@
 test("views older than the latest of an incarnation, or from a replaced incarnation, are dropped", () => {
   const holds = (views: LinkView[]): void => {
     const peerViews = new PeerViews(new Set(["b", "c"]), 1000);
-    const newest = new Map<string, number>();
-    const current = new Map<string, string>();
+    const newestSequences = new Map<string, number>();
+    const currentIncarnations = new Map<string, string>();
     const replaced = new Set<string>();
     for (const sent of views) {
       if (!peerViews.receive(encodeView(sent), 0).ok) continue;
       const process = `${sent.node}/${sent.incarnation}`;
       assert.ok(!replaced.has(process), "a view of a replaced incarnation was accepted");
-      assert.ok(sent.sequence >= (newest.get(process) ?? 0), "an older view was accepted");
-      newest.set(process, sent.sequence);
-      const former = current.get(sent.node);
+      assert.ok(sent.sequence >= (newestSequences.get(process) ?? 0), "an older view was accepted");
+      newestSequences.set(process, sent.sequence);
+      const former = currentIncarnations.get(sent.node);
       if (former !== undefined && former !== process) replaced.add(former);
-      current.set(sent.node, process);
+      currentIncarnations.set(sent.node, process);
     }
   };
   fc.assert(fc.property(fc.array(view, { maxLength: 30 }), holds), RUNS);
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -104,33 +104,33 @@
   seed: number,
   link: ScheduledLink,
   direction: Direction,
-  into: Reaction,
+  reaction: Reaction,
 ): Promise<void> {
   await withSimulation(seed, "enforce", async (world) => {
-    let over = false;
-    void work(world, () => over, 1000);
+    let isOver = false;
+    void work(world, () => isOver, 1000);
     await world.run(WARM_UP_MS);
     const node = nodeToCut(world, link);
-    const shown = link === "peers" ? "peer:" : link;
+    const linkPrefix = link === "peers" ? "peer:" : link;
     node.cut[link] = direction;
     const since = world.now;
-    const handled = takeoverCheck(world, node, link);
-    const after: { shown: number | null; handled: number | null } = { shown: null, handled: null };
+    const hasTakenOver = takeoverCheck(world, node, link);
+    const observed: { shown: number | null; handled: number | null } = { shown: null, handled: null };
     // After a hand-over this controller has no workers left to miss, so the link may not be reported as down later.
     await world.runUntil(() => {
       const reports = (world.now - since) / world.settings.workers.heartbeatIntervalMs;
-      if (hasLinkInState("down", node, shown, direction)) after.shown ??= reports;
-      if (handled?.()) after.handled ??= reports;
-      return handled === null ? after.shown !== null : after.handled !== null;
+      if (hasLinkInState("down", node, linkPrefix, direction)) observed.shown ??= reports;
+      if (hasTakenOver?.()) observed.handled ??= reports;
+      return hasTakenOver === null ? observed.shown !== null : observed.handled !== null;
     }, GIVE_UP_MS);
-    into.shown.push(after.shown);
-    if (handled !== null) into.handled.push(after.handled);
+    reaction.shown.push(observed.shown);
+    if (hasTakenOver !== null) reaction.handled.push(observed.handled);
     node.cut[link] = false;
     if (link !== "workers" && link !== "cloud")
-      into.recovered.push(
-        await reportIntervalsUntil(world, () => hasLinkInState("up", node, shown, direction)),
+      reaction.recovered.push(
+        await reportIntervalsUntil(world, () => hasLinkInState("up", node, linkPrefix, direction)),
       );
-    over = true;
+    isOver = true;
   });
 }
 
@@ -179,8 +179,8 @@
 }
 
 async function countDowns(world: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
-  let over = false;
-  void work(world, () => over, 1000);
+  let isOver = false;
+  void work(world, () => isOver, 1000);
   let before = new Set<string>();
   const until = world.now + ms;
   while (world.now < until) {
@@ -193,7 +193,7 @@
     }
     before = down;
   }
-  over = true;
+  isOver = true;
 }
 
 function downDirections(world: Simulation): Set<string> {
@@ -211,8 +211,8 @@
     const cost: Cost = { mode, peerQuestions: 0, stateRequests: 0, cpuMs: 0 };
     for (let seed = 1; seed <= seeds; seed++)
       await withSimulation(seed, mode, async (world) => {
-        let over = false;
-        void work(world, () => over, 1000);
+        let isOver = false;
+        void work(world, () => isOver, 1000);
         await world.run(WARM_UP_MS);
         const before = { questions: world.peerQuestions, requests: world.store.requests };
         const cpu = process.cpuUsage();
@@ -221,7 +221,7 @@
         cost.peerQuestions += (world.peerQuestions - before.questions) / MINUTES / seeds;
         cost.stateRequests += (world.store.requests - before.requests) / MINUTES / seeds;
         cost.cpuMs += (used.user + used.system) / 1000 / MINUTES / seeds;
-        over = true;
+        isOver = true;
       });
     all.push(cost);
   }
@@ -249,9 +249,9 @@
         world.store.onChange = (change) => {
           if ("put" in change && change.put.startsWith("fernpond/live/shards/")) sum.shardMoves++;
         };
-        let over = false;
-        void runSchedule(world, randomSchedule(world)).then(() => (over = true));
-        await work(world, () => over, 1000);
+        let isOver = false;
+        void runSchedule(world, randomSchedule(world)).then(() => (isOver = true));
+        await work(world, () => isOver, 1000);
         for (const job of world.jobs.values()) sum.tasksDone += job.completed.size;
         sum.starts += world.cloud.starts.length;
         sum.broken += world.broken.length;
--- a/test/support/link-cuts.ts
+++ b/test/support/link-cuts.ts
@@ -13,8 +13,8 @@
   | { kind: "outage"; at: number; forMs: number };
 
 /**
- * Injects all faults of a schedule, and resolves when the last has ended and all links are restored. If cuts of one link
- * overlap, the end of the first restores the link.
+ * Injects all faults of a schedule, and resolves when the last has ended and all links are restored. If cuts of one
+ * link overlap, the end of the first restores the link.
  */
 export async function runSchedule(world: Simulation, schedule: ScheduledFault[]): Promise<void> {
   await Promise.all(schedule.map((fault) => runFault(world, fault)));
