--- a/src/links/degradation-policy.ts
+++ b/src/links/degradation-policy.ts
@@ -8,7 +8,7 @@
 
 /**
  * The connections that can be lost. `state_for_all`: most peers report the state service as down too. `peers`: no peer
- * can be reached.
+ * can be reached; peers count as one connection.
  */
 export const LOSSES = ["state", "state_for_all", "workers", "peers", "cloud", "users"] as const;
 /** A connection that can be lost; a row of the policy table. */
--- a/src/links/monitor.ts
+++ b/src/links/monitor.ts
@@ -28,7 +28,7 @@
 /** Messages to the monitor. */
 export type LinkMonitorMessage =
   | { kind: "observed"; observation: Observation }
-  /** A worker of another controller's shard sent a heartbeat to this controller. */
+  /** A worker sent a heartbeat to this controller although it holds the token of another controller's shard. */
   | { kind: "misrouted"; shard: number; term: number; host: string }
   | { kind: "tick" };
 
