--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -1,4 +1,4 @@
-/** What the link monitor costs, counted: looks at the clock, observations and probes, never time. */
+/** Cost of the link monitor in counts of clock reads, probes and views, so that no test depends on elapsed time. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { LinkName } from "../src/links/model.js";
@@ -10,10 +10,10 @@
 
 const PEERS = ["b", "c", "d"];
 
-/** A monitor, a clock that counts who looks at it, and the probes that were sent. */
-function counted(machines: number, mode: "observe" | "enforce" = "enforce") {
+/** Creates a monitor with a clock that counts its reads, and records the probes that it sends. */
+function createMonitor(machines: number, mode: "observe" | "enforce" = "enforce") {
   let now = 0;
-  const counts = { looks: 0, probes: [] as LinkName[] };
+  const counts = { clockReads: 0, probes: [] as LinkName[] };
   const monitor = new LinkMonitor(
     {
       node: "a",
@@ -24,9 +24,9 @@
       probes: { cloudRps: 4, controllers: 4, share: 0.02 },
       misroutedWindowMs: 8000,
       maxMachines: 10_000,
-      usersSilentMs: 5000,
+      usersSilenceMs: 5000,
       clock: () => {
-        counts.looks++;
+        counts.clockReads++;
         return now;
       },
     },
@@ -47,30 +47,30 @@
   return { monitor, counts, tick };
 }
 
-function looksOf(machines: number): { report: number; tick: number } {
-  const { monitor, counts, tick } = counted(machines);
+function countClockReads(machines: number): { report: number; tick: number } {
+  const { monitor, counts, tick } = createMonitor(machines);
   tick();
-  counts.looks = 0;
+  counts.clockReads = 0;
   for (let i = 0; i < machines; i++)
     monitor.tell({
       kind: "observed",
       observation: { kind: "delivered", link: "workers", direction: "inbound" },
     });
-  const report = counts.looks / machines;
-  counts.looks = 0;
+  const report = counts.clockReads / machines;
+  counts.clockReads = 0;
   tick();
-  return { report, tick: counts.looks };
+  return { report, tick: counts.clockReads };
 }
 
-test("a report and a tick cost the same with 4,000 machines as with ten", () => {
-  const [few, many] = [looksOf(10), looksOf(4000)];
+test("a heartbeat and a tick read the clock as often with 4,000 machines as with ten", () => {
+  const [few, many] = [countClockReads(10), countClockReads(4000)];
   assert.deepEqual(many, few);
-  assert.ok(many.report <= 2, `${many.report} looks at the clock a report`);
+  assert.ok(many.report <= 2, `${many.report} clock reads per heartbeat`);
 });
 
-test("quiet peers are asked twice in the time after which they are unknown, and an idle cloud is not asked", () => {
-  const { monitor, counts, tick } = counted(10);
-  const asked = new Map<LinkName, number>();
+test("idle peers are probed twice per idle time-out, and an idle cloud is not probed", () => {
+  const { monitor, counts, tick } = createMonitor(10);
+  const probeCounts = new Map<LinkName, number>();
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
     tick();
     monitor.tell({ kind: "observed", observation: { kind: "answered", link: "state", latencyMs: 5 } });
@@ -81,18 +81,18 @@
     for (const link of counts.probes.splice(0)) {
       assert.notEqual(link, "cloud");
       monitor.tell({ kind: "observed", observation: { kind: "delivered", link, direction: "outbound" } });
-      asked.set(link, (asked.get(link) ?? 0) + 1);
+      probeCounts.set(link, (probeCounts.get(link) ?? 0) + 1);
     }
   }
-  // Every half of four report intervals.
+  // An idle link is probed after half of the idle time-out of four heartbeat intervals.
   for (const peer of PEERS) {
-    const count = asked.get(`peer:${peer}`) ?? 0;
-    assert.ok(count >= 10 && count <= 60_000 / 4000 + 1, `${count} questions a minute`);
+    const count = probeCounts.get(`peer:${peer}`) ?? 0;
+    assert.ok(count >= 10 && count <= 60_000 / 4000 + 1, `${count} probes per minute`);
   }
 });
 
-test("a controller that finds the state service failing asks each peer at most once a report interval", () => {
-  const { monitor, counts, tick } = counted(10);
+test("while the state service fails, each peer is probed at most once per heartbeat interval", () => {
+  const { monitor, counts, tick } = createMonitor(10);
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
     tick();
     monitor.tell({ kind: "observed", observation: { kind: "refused", link: "state" } });
@@ -103,26 +103,26 @@
   );
 });
 
-test("views go to a peer at most every half report interval, whoever asks for one", () => {
-  const { monitor, tick } = counted(10);
-  let sent = 0;
+test("a view is sent to a peer at most once per half heartbeat interval, however often one is requested", () => {
+  const { monitor, tick } = createMonitor(10);
+  let sentViews = 0;
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
     tick();
-    for (let k = 0; k < 20; k++) if (monitor.nextOutgoingView("b") !== undefined) sent++;
+    for (let k = 0; k < 20; k++) if (monitor.nextOutgoingView("b") !== undefined) sentViews++;
   }
-  assert.ok(sent <= 60_000 / (HEARTBEAT_INTERVAL_MS / 2), `${sent} views a minute`);
+  assert.ok(sentViews <= 60_000 / (HEARTBEAT_INTERVAL_MS / 2), `${sentViews} views a minute`);
 });
 
-// Fails if a monitor that only observes counts hand-overs, or keeps shards from peers.
-test("a monitor that observes restricts nothing, and shows what would be", () => {
-  const { monitor, tick } = counted(10, "observe");
+// Guards against a monitor in observe mode that applies the hand-over back-off or excludes peers from shards.
+test("a monitor in observe mode restricts nothing but reports lost connections", () => {
+  const { monitor, tick } = createMonitor(10, "observe");
   for (let i = 0; i < 20; i++) {
     tick();
     monitor.tell({ kind: "observed", observation: { kind: "refused", link: "state" } });
   }
   assert.deepEqual(monitor.status().lost, ["state"]);
   for (const activity of ACTIVITIES) assert.ok(monitor.allows(activity) && !monitor.refuses(activity));
-  for (let i = 0; i < 3; i++) assert.ok(monitor.tryHandOver(0), "no hand-over waits for another");
+  for (let i = 0; i < 3; i++) assert.ok(monitor.tryHandOver(0), "hand-overs have no back-off");
   const workers = { link: "workers", direction: "inbound" as const, state: "down" as const };
   const view = {
     version: VIEW_VERSION,
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -1,13 +1,13 @@
 /**
- * Measures the link monitor in simulated time: how soon a cut shows and something is done about it, what it finds where
- * nothing is cut, what it costs, and what is done meanwhile with and without the policy. Not part of CI:
- * `npm run measure:links -- FOLDER [SEEDS]` writes results.json and an HTML report with plots.
+ * Measures the link monitor in simulated time: the time to detect a cut and to react to it, false alarms, cost, and the
+ * progress of tasks during cuts with and without the policy. Not part of CI: `npm run measure:links -- FOLDER [SEEDS]`
+ * writes results.json and an HTML report with plots.
  */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { join } from "node:path";
 import type { Direction, LinkState } from "../../src/links/model.js";
 import type { MonitorMode } from "../../src/links/settings.js";
-import { playSchedule, type ScheduledFault, type ScheduledLink } from "../support/link-cuts.js";
+import { runSchedule, type ScheduledFault, type ScheduledLink } from "../support/link-cuts.js";
 import { Simulation, type SimulatedNode } from "../support/simulation.js";
 import { testSettings } from "../support/settings.js";
 import { TEAMS, work } from "../support/workload.js";
@@ -17,26 +17,27 @@
 const GIVE_UP_MS = 60_000;
 const WARM_UP_MS = 30_000;
 
-/** How long something took, in report intervals, by seed; null where it did not happen within a minute. */
+/** Reaction times to a cut in heartbeat intervals, one per seed; null for what did not happen within `GIVE_UP_MS`. */
 export interface Reaction {
   link: ScheduledLink;
   direction: Direction;
+  /** From the cut until the link is reported as down. */
   shown: (number | null)[];
-  /** Until somebody else does what this controller cannot; empty where nothing is to be done. */
+  /** From the cut until another controller has taken over; empty if the link calls for no take-over. */
   handled: (number | null)[];
-  /** From healing until the link is up again. */
+  /** From the end of the cut until the link is up again. */
   recovered: (number | null)[];
 }
 
-/** What the monitor found where no link was cut. */
+/** Transitions to down while no link was cut. */
 export interface FalseAlarms {
   schedule: string;
   minutes: number;
-  /** Transitions to down, by link and direction. */
+  /** Number of transitions to down, by link and direction. */
   downs: Record<string, number>;
 }
 
-/** What a minute of a deployment costs. */
+/** The cost of a deployment per simulated minute. */
 export interface Cost {
   mode: MonitorMode;
   peerQuestions: number;
@@ -44,16 +45,17 @@
   cpuMs: number;
 }
 
-/** What was done while links were cut. */
+/** The progress of tasks while links were cut. */
 export interface Progress {
   mode: MonitorMode;
   tasksDone: number;
   starts: number;
   shardMoves: number;
+  /** Number of invariant violations. */
   broken: number;
 }
 
-/** All that is measured. */
+/** The results of all measurements. */
 export interface Measurements {
   seeds: number;
   reportMs: number;
@@ -64,89 +66,96 @@
   progress: Progress[];
 }
 
-function begin(seed: number, mode: MonitorMode): Simulation {
+function startSimulation(seed: number, mode: MonitorMode): Simulation {
   return Simulation.start(CONTROLLERS, seed, { teams: TEAMS, operator: { links: { mode } } });
 }
 
-/** Plays something in a deployment of its own. */
-async function inWorld<T>(
+/** Runs a function with a deployment of its own. */
+async function withSimulation<T>(
   seed: number,
   mode: MonitorMode,
-  play: (world: Simulation) => Promise<T>,
+  run: (world: Simulation) => Promise<T>,
 ): Promise<T> {
-  const world = begin(seed, mode);
+  const world = startSimulation(seed, mode);
   try {
-    return await play(world);
+    return await run(world);
   } finally {
     world.close();
   }
 }
 
-function isIn(state: LinkState, node: SimulatedNode, link: string, direction: Direction): boolean {
+function hasLinkInState(state: LinkState, node: SimulatedNode, link: string, direction: Direction): boolean {
   const links = node.life?.controller.httpDependencies.linkStatus().links ?? [];
   return links.some((of) => of.link.startsWith(link) && of.direction === direction && of.state === state);
 }
 
-/** Report intervals until something holds; null if it never does. */
-async function reportsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
+/** Returns the heartbeat intervals until a condition holds; null if it does not within `GIVE_UP_MS`. */
+async function reportIntervalsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
   const since = world.now;
   const happened = await world.runUntil(met, GIVE_UP_MS);
   return happened ? (world.now - since) / world.settings.workers.heartbeatIntervalMs : null;
 }
 
-function victimOf(world: Simulation, link: ScheduledLink): SimulatedNode {
+function nodeToCut(world: Simulation, link: ScheduledLink): SimulatedNode {
   return (link === "cloud" ? world.leader() : world.ownerOf(0)) ?? world.nodes[0]!;
 }
 
-async function react(seed: number, link: ScheduledLink, direction: Direction, into: Reaction): Promise<void> {
-  await inWorld(seed, "enforce", async (world) => {
-    let over = false;
-    void work(world, () => over, 1000);
+async function measureReaction(
+  seed: number,
+  link: ScheduledLink,
+  direction: Direction,
+  reaction: Reaction,
+): Promise<void> {
+  await withSimulation(seed, "enforce", async (world) => {
+    let isOver = false;
+    void work(world, () => isOver, 1000);
     await world.run(WARM_UP_MS);
-    const node = victimOf(world, link);
-    const shown = link === "peers" ? "peer:" : link;
+    const node = nodeToCut(world, link);
+    const linkPrefix = link === "peers" ? "peer:" : link;
     node.cut[link] = direction;
     const since = world.now;
-    const handled = handledBy(world, node, link);
-    const after: { shown: number | null; handled: number | null } = { shown: null, handled: null };
-    // A shard that has passed on leaves no workers to be missed: what comes first ends the other's chance.
+    const hasTakenOver = takeoverCheck(world, node, link);
+    const observed: { shown: number | null; handled: number | null } = { shown: null, handled: null };
+    // After a hand-over this controller has no workers left to miss, so the link may not be reported as down later.
     await world.runUntil(() => {
       const reports = (world.now - since) / world.settings.workers.heartbeatIntervalMs;
-      if (isIn("down", node, shown, direction)) after.shown ??= reports;
-      if (handled?.()) after.handled ??= reports;
-      return handled === null ? after.shown !== null : after.handled !== null;
+      if (hasLinkInState("down", node, linkPrefix, direction)) observed.shown ??= reports;
+      if (hasTakenOver?.()) observed.handled ??= reports;
+      return hasTakenOver === null ? observed.shown !== null : observed.handled !== null;
     }, GIVE_UP_MS);
-    into.shown.push(after.shown);
-    if (handled !== null) into.handled.push(after.handled);
+    reaction.shown.push(observed.shown);
+    if (hasTakenOver !== null) reaction.handled.push(observed.handled);
     node.cut[link] = false;
     if (link !== "workers" && link !== "cloud")
-      into.recovered.push(await reportsUntil(world, () => isIn("up", node, shown, direction)));
-    over = true;
+      reaction.recovered.push(
+        await reportIntervalsUntil(world, () => hasLinkInState("up", node, linkPrefix, direction)),
+      );
+    isOver = true;
   });
 }
 
-/** When another does what a cut controller cannot; null where there is nothing of the kind. */
-function handledBy(world: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
+/** Returns a condition that holds once another controller has taken over; null if the link calls for no take-over. */
+function takeoverCheck(world: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
   if (link === "state" || link === "workers") return () => world.ownerOf(0) !== node;
   if (link === "cloud") return () => world.leader() !== undefined && world.leader() !== node;
   return null;
 }
 
-async function reactions(seeds: number): Promise<Reaction[]> {
+async function measureReactions(seeds: number): Promise<Reaction[]> {
   const all: Reaction[] = [];
   for (const link of ["state", "workers", "peers", "cloud", "users"] as const)
     for (const direction of ["outbound", "inbound"] as const) {
-      // Users ask and are answered on one exchange: that answers are lost, the users alone can see.
+      // Only users can see that responses to them are lost, so the monitor reports no failure of this direction.
       if (link === "users" && direction === "outbound") continue;
       const reaction: Reaction = { link, direction, shown: [], handled: [], recovered: [] };
-      for (let seed = 1; seed <= seeds; seed++) await react(seed, link, direction, reaction);
+      for (let seed = 1; seed <= seeds; seed++) await measureReaction(seed, link, direction, reaction);
       all.push(reaction);
     }
   return all;
 }
 
-/** Counts how often a link goes down although none is cut. */
-async function falseAlarms(seeds: number): Promise<FalseAlarms[]> {
+/** Counts transitions to down while no link is cut. */
+async function measureFalseAlarms(seeds: number): Promise<FalseAlarms[]> {
   const MINUTES = 3;
   const overload = (world: Simulation): void => {
     world.stateLatencyMs = 400;
@@ -160,7 +169,7 @@
   ] as const) {
     const downs: Record<string, number> = {};
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, "enforce", async (world) => {
+      await withSimulation(seed, "enforce", async (world) => {
         prepare(world);
         await countDowns(world, MINUTES * 60_000, downs);
       });
@@ -170,8 +179,8 @@
 }
 
 async function countDowns(world: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
-  let over = false;
-  void work(world, () => over, 1000);
+  let isOver = false;
+  void work(world, () => isOver, 1000);
   let before = new Set<string>();
   const until = world.now + ms;
   while (world.now < until) {
@@ -184,7 +193,7 @@
     }
     before = down;
   }
-  over = true;
+  isOver = true;
 }
 
 function downDirections(world: Simulation): Set<string> {
@@ -195,15 +204,15 @@
   return down;
 }
 
-async function costs(seeds: number): Promise<Cost[]> {
+async function measureCosts(seeds: number): Promise<Cost[]> {
   const MINUTES = 3;
   const all: Cost[] = [];
   for (const mode of ["off", "observe", "enforce"] as const) {
     const cost: Cost = { mode, peerQuestions: 0, stateRequests: 0, cpuMs: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, mode, async (world) => {
-        let over = false;
-        void work(world, () => over, 1000);
+      await withSimulation(seed, mode, async (world) => {
+        let isOver = false;
+        void work(world, () => isOver, 1000);
         await world.run(WARM_UP_MS);
         const before = { questions: world.peerQuestions, requests: world.store.requests };
         const cpu = process.cpuUsage();
@@ -212,15 +221,15 @@
         cost.peerQuestions += (world.peerQuestions - before.questions) / MINUTES / seeds;
         cost.stateRequests += (world.store.requests - before.requests) / MINUTES / seeds;
         cost.cpuMs += (used.user + used.system) / 1000 / MINUTES / seeds;
-        over = true;
+        isOver = true;
       });
     all.push(cost);
   }
   return all;
 }
 
-/** Cuts of one controller's link after the other, each direction, as a schedule for all modes alike. */
-function schedule(world: Simulation): ScheduledFault[] {
+/** Draws a schedule of consecutive cuts from the simulation's seeded generator, to compare the modes under cuts. */
+function randomSchedule(world: Simulation): ScheduledFault[] {
   const faults: ScheduledFault[] = [];
   for (let i = 0; i < 6; i++) {
     const link = (["state", "workers", "cloud"] as const)[world.pick(3)]!;
@@ -230,19 +239,19 @@
   return faults;
 }
 
-async function progress(seeds: number): Promise<Progress[]> {
+async function measureProgress(seeds: number): Promise<Progress[]> {
   const all: Progress[] = [];
   for (const mode of ["off", "enforce"] as const) {
     const sum: Progress = { mode, tasksDone: 0, starts: 0, shardMoves: 0, broken: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await inWorld(seed, mode, async (world) => {
+      await withSimulation(seed, mode, async (world) => {
         await world.run(10_000);
         world.store.onChange = (change) => {
           if ("put" in change && change.put.startsWith("fernpond/live/shards/")) sum.shardMoves++;
         };
-        let over = false;
-        void playSchedule(world, schedule(world)).then(() => (over = true));
-        await work(world, () => over, 1000);
+        let isOver = false;
+        void runSchedule(world, randomSchedule(world)).then(() => (isOver = true));
+        await work(world, () => isOver, 1000);
         for (const job of world.jobs.values()) sum.tasksDone += job.completed.size;
         sum.starts += world.cloud.startedTasks.length;
         sum.broken += world.broken.length;
@@ -259,10 +268,10 @@
   seeds,
   reportMs,
   leaseMs,
-  reactions: await reactions(seeds),
-  falseAlarms: await falseAlarms(seeds),
-  costs: await costs(seeds),
-  progress: await progress(seeds),
+  reactions: await measureReactions(seeds),
+  falseAlarms: await measureFalseAlarms(seeds),
+  costs: await measureCosts(seeds),
+  progress: await measureProgress(seeds),
 };
 mkdirSync(folder, { recursive: true });
 writeFileSync(join(folder, "results.json"), `${JSON.stringify(measurements, null, 2)}\n`);
