--- a/src/autoscaling/shortages.ts
+++ b/src/autoscaling/shortages.ts
@@ -1,60 +1,60 @@
-/** What the shards lack: their unmet demand beyond what booting machines will take. Pure. */
+/** Computes the shortages of the shards: unmet demand that booting machines will not cover. Pure. */
 import type { InstancePool } from "../cloud/instance-pool.js";
 import { allowsPool, type Demand, type MachineCondition, type ShardSummary } from "../peers/peer-messages.js";
 import { ROUNDING_TOLERANCE, slotsPerMachine } from "../placement/capacity.js";
 import { PRIORITIES, type Priority } from "../wire/index.js";
-import { usualBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
+import { typicalBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
 
-/** A machine that takes longer than this many usual boot times to come up covers no demand any more. */
+/** A machine that has been booting for this many typical boot times no longer covers demand. */
 const LATE_BOOT_FACTOR = 2;
 
-/** What one shard lacks. */
+/** The shortage of one shard. */
 export interface Shortage {
   shard: number;
-  /** The most urgent unmet demand; decides where to rent. */
+  /** The demand that determines where to rent: the most urgent without any usable machine, or else the most urgent. */
   demand: Demand;
-  /** All unmet demand of the shard, the most urgent first. */
+  /** All unmet demand of the shard, most urgent first. */
   unmetDemand: Demand[];
-  /** Whether the shard has no machine, up or booting, that may run tasks of `demand`. */
+  /** Whether the shard has no machine, up or booting, on which tasks of `demand` are allowed to run. */
   hasNoMachine: boolean;
-  /** How many machines may be ordered for it. */
+  /** The maximum number of machines to order for this shortage. */
   maxMachines: number;
 }
 
-/** The conditions that an owner reports, by host. */
+/** By host: the condition reported by the owner. */
 type ReportedConditions = ReadonlyMap<string, MachineCondition>;
 
-/** A machine that is booting, and which fraction of it no demand has been assigned to yet. */
+/** A booting machine, and the fraction of its capacity that is not yet assigned to demand. */
 interface BootingMachine {
   machine: RentedMachine;
   freeFraction: number;
 }
 
-/** How many tasks all shards together may still ask machines for. */
-class TaskAllowance {
+/** The number of tasks for which all shards together can still request machines. */
+class TaskBudget {
   constructor(private tasksLeft: number) {}
 
-  take(wanted: number): number {
-    const granted = Math.min(wanted, this.tasksLeft);
+  consume(requested: number): number {
+    const granted = Math.min(requested, this.tasksLeft);
     this.tasksLeft -= granted;
     return granted;
   }
 }
 
-/** The shortages of all shards, the most urgent first. */
+/** Computes the shortages of all shards, most urgent first. */
 export function findShortages(view: ScalingView, types: MachineTypes): Shortage[] {
-  const allowance = new TaskAllowance(view.caps.maxTasks);
+  const taskBudget = new TaskBudget(view.caps.maxTasks);
   const shortages: Shortage[] = [];
   for (const [shard, summary] of view.summaries.entries()) {
-    // Before an owner has reconciled its machines, its queue does not show what is short.
+    // The queue does not reflect the actual shortage until the owner has reconciled its machines.
     if (!summary?.recovered) continue;
-    const shortage = findShortage(shard, summary, view, types, allowance);
+    const shortage = findShortage(shard, summary, view, types, taskBudget);
     if (shortage !== null) shortages.push(shortage);
   }
   return shortages.sort((a, b) => priorityRank(b.demand) - priorityRank(a.demand));
 }
 
-/** How many machines of a pool the unmet demand that it suits takes. */
+/** The number of machines of a pool needed for the part of the unmet demand that can run there. */
 export function machinesNeeded(shortage: Shortage, pool: InstancePool, types: MachineTypes): number {
   const type = types.get(pool.type);
   if (!type) return 0;
@@ -75,44 +75,46 @@
   summary: ShardSummary,
   view: ScalingView,
   types: MachineTypes,
-  allowance: TaskAllowance,
+  taskBudget: TaskBudget,
 ): Shortage | null {
   const conditions = new Map(summary.machines.map((machine) => [machine.host, machine.state]));
   const ownMachines = view.machines.filter((machine) => machine.shard === shard && !machine.draining);
   const booting = ownMachines
     .filter((machine) => isStillBooting(machine, conditions, types, view.wallNow))
     .map((machine) => ({ machine, freeFraction: 1 }));
-  const unmetDemand = findUnmetDemand(summary.demand, booting, types, allowance);
+  const unmetDemand = findUnmetDemand(summary.demand, booting, types, taskBudget);
   const mostUrgent = unmetDemand[0];
   if (mostUrgent === undefined) return null;
   const usable = ownMachines.filter((machine) => conditions.get(machine.host) !== "lease_expired");
-  const withoutMachine = unmetDemand.find((demand) => !usable.some((machine) => allowsPool(demand, machine)));
+  const demandWithoutMachine = unmetDemand.find(
+    (demand) => !usable.some((machine) => allowsPool(demand, machine)),
+  );
   return {
     shard,
-    demand: withoutMachine ?? mostUrgent,
+    demand: demandWithoutMachine ?? mostUrgent,
     unmetDemand,
-    hasNoMachine: withoutMachine !== undefined,
+    hasNoMachine: demandWithoutMachine !== undefined,
     maxMachines: Infinity,
   };
 }
 
-/** The demand that booting machines leave over, the most urgent first. */
+/** The demand not covered by booting machines, most urgent first, limited by the task budget. */
 function findUnmetDemand(
   demands: readonly Demand[],
   booting: BootingMachine[],
   types: MachineTypes,
-  allowance: TaskAllowance,
+  taskBudget: TaskBudget,
 ): Demand[] {
   const unmetDemand: Demand[] = [];
   for (const demand of [...demands].sort((a, b) => priorityRank(b) - priorityRank(a))) {
-    const allowed = allowance.take(demand.count);
+    const allowed = taskBudget.consume(demand.count);
     const count = allowed - assignToBooting(demand, allowed, booting, types);
     if (count > 0) unmetDemand.push({ ...demand, count });
   }
   return unmetDemand;
 }
 
-/** Assigns tasks to booting machines, and returns how many of them found a place. */
+/** Assigns tasks to booting machines, and returns the number of tasks assigned. */
 function assignToBooting(
   demand: Demand,
   tasks: number,
@@ -133,8 +135,9 @@
 }
 
 /**
- * Whether a machine is rented, has sent no heartbeat to its owner yet, and is not overdue. Guards against a boot that
- * never ends covering demand for ever.
+ * Whether a machine has sent no heartbeat to its current owner yet and is not overdue. The time limit prevents a
+ * machine that never completes its boot from covering demand forever. It does not apply to machines that have sent a
+ * heartbeat to an earlier owner.
  */
 function isStillBooting(
   machine: RentedMachine,
@@ -145,5 +148,5 @@
   const condition = conditions.get(machine.host) ?? "booting";
   if (condition === "awaiting_heartbeat") return true;
   if (condition !== "booting") return false;
-  return wallNow - machine.since < LATE_BOOT_FACTOR * usualBootMs(machine, types);
+  return wallNow - machine.since < LATE_BOOT_FACTOR * typicalBootMs(machine, types);
 }
--- a/test/half-cut-dispatch.test.ts
+++ b/test/half-cut-dispatch.test.ts
@@ -40,7 +40,7 @@
 }
 
 const startsOf = (simulation: Simulation, job: UserJob): string[] =>
-  simulation.cloud.starts.filter((piece) => piece.startsWith(`${job.id}/`));
+  simulation.cloud.startedTasks.filter((piece) => piece.startsWith(`${job.id}/`));
 
 /** Each task ran once: nothing was repeated without need. */
 function assertEachTaskRanOnce(simulation: Simulation, job: UserJob): void {
--- a/test/half-cut-simulated.test.ts
+++ b/test/half-cut-simulated.test.ts
@@ -5,7 +5,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as fc from "fast-check";
-import { playSchedule, type ScheduledFault, type ScheduledLink } from "./support/link-cuts.js";
+import { runSchedule, type ScheduledFault, type ScheduledLink } from "./support/link-cuts.js";
 import { Simulation } from "./support/simulation.js";
 import { TEAMS, work } from "./support/workload.js";
 
@@ -59,7 +59,7 @@
   try {
     await simulation.run(10_000);
     let over = false;
-    void playSchedule(simulation, schedule).then(() => (over = true));
+    void runSchedule(simulation, schedule).then(() => (over = true));
     await work(simulation, () => over);
     simulation.workers.copies = simulation.delayedTransactionShare = 0;
     simulation.faultsEndedAt = simulation.now;
--- a/test/support/invariant-checker.ts
+++ b/test/support/invariant-checker.ts
@@ -24,7 +24,7 @@
     const job = this.simulation.jobOfTask(piece)!;
     if (job.cancelledAt !== null && this.simulation.now - job.cancelledAt > MAX_START_DELAY_MS)
       this.startsAfterCancellation++;
-    for (const twice of this.simulation.cloud.ranTwice)
+    for (const twice of this.simulation.cloud.duplicateRuns)
       this.simulation.recordViolation(`ran_twice: ${twice}`);
     this.checkQuota(String(job.body.crew));
     const wrong = this.placementViolation(job, piece, worker);
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -280,9 +280,9 @@
   const settings = testSettings({ controllers: SHARDS });
   const clock = (): number => now;
   const callbacks = {
-    leadership: () => state.view.get(keys.leader)?.version ?? null,
+    leaderVersion: () => state.view.get(keys.leader)?.version ?? null,
     requestOwner: () => Promise.resolve({ accepted: { hosts: [] } }),
-    mayCallCloud: () => true,
+    canCallCloud: () => true,
   };
   const client = new CloudClient(cloud, 100, clock, 1000);
   const operator = checkOperatorSettings({});
