--- a/test/support/fault-combinations.ts
+++ b/test/support/fault-combinations.ts
@@ -1,37 +1,44 @@
-/* eslint-disable max-lines -- a list of rows, each of them short and independent of the others */
-/** The faultCombinations of faults that the operators have listed, each brought about on purpose. */
+/* eslint-disable max-lines -- a list of short scenarios that are independent of each other */
+/** Combinations of faults that the operators have listed, each produced deliberately rather than at random. */
 import assert from "node:assert/strict";
 import type { SimulatedNode, Simulation, UserJob } from "./simulation.js";
 import type { SettingsOptions } from "./settings.js";
 import { faults } from "./faults.js";
 import { TEAMS } from "./workload.js";
 
+/** A scenario that is run against a simulated deployment with jobs of its own. */
 export interface FaultCombination {
+  /** The condition, and the expected behavior where the scenario asserts more than the invariants. */
   name: string;
   settings?: SettingsOptions;
+  /** Submits jobs and injects the faults; all faults have ended when it resolves. */
   run: (simulation: Simulation) => Promise<void>;
 }
 
+/** The run time of tasks that outlast the faults of most scenarios. */
 const LONG_RUN_MS = 60_000;
 
-/** A job all of whose tasks run. */
+/** Submits a job with long tasks, and waits until all of them run. */
 async function startJob(
   simulation: Simulation,
   id: string,
-  over: Record<string, unknown> = {},
+  overrides: Record<string, unknown> = {},
 ): Promise<UserJob> {
-  const job = submitLongJob(simulation, id, over);
-  const all = Number(job.body.pieces);
-  assert.ok(await simulation.runUntil(() => simulation.runningTaskCount(job) === all, 120_000), `${id} runs`);
+  const job = submitLongJob(simulation, id, overrides);
+  const taskCount = Number(job.body.pieces);
+  assert.ok(
+    await simulation.runUntil(() => simulation.runningTaskCount(job) === taskCount, 120_000),
+    `all tasks of ${id} run`,
+  );
   return job;
 }
 
-function submitLongJob(simulation: Simulation, id: string, over: Record<string, unknown> = {}): UserJob {
+function submitLongJob(simulation: Simulation, id: string, overrides: Record<string, unknown> = {}): UserJob {
   (simulation.workers.runOf ??= new Map()).set(id, LONG_RUN_MS);
-  return simulation.submit(id, { pieces: 6, guessS: LONG_RUN_MS / 1000, ...over });
+  return simulation.submit(id, { pieces: 6, guessS: LONG_RUN_MS / 1000, ...overrides });
 }
 
-/** The owner of the shard that a team's jobs are in, and a node that is neither that nor the leader. */
+/** The owner of a shard, and another node, which is not the leader if possible. */
 function ownerAndOther(
   simulation: Simulation,
   shard: number,
@@ -42,26 +49,33 @@
   return { owner, other };
 }
 
-async function crashAndRestart(simulation: Simulation, node: SimulatedNode, backMs: number): Promise<void> {
+async function crashAndRestart(
+  simulation: Simulation,
+  node: SimulatedNode,
+  downtimeMs: number,
+): Promise<void> {
   simulation.crash(node);
-  await simulation.run(backMs);
+  await simulation.run(downtimeMs);
   simulation.startNode(node);
 }
 
-/** The state service refuses the owner alone, another controller confirms, then it is out for all. */
-function cancelBeforeOutage(refusedMs: number, outageMs: number, fromPeers: boolean): FaultCombination {
+/**
+ * Another controller confirms a cancellation that the owner cannot see, as the state service refuses its requests. Then
+ * the state service is down for all, so that the owner does not learn of the cancellation from it either.
+ */
+function cancelBeforeOutage(refusedMs: number, outageMs: number, isCutFromPeers: boolean): FaultCombination {
   return {
-    name: `cancelled while the owner alone is refused for ${refusedMs} ms, then an outage of ${outageMs} ms${fromPeers ? ", no peers" : ""}`,
+    name: `a job is cancelled while the state service refuses its owner for ${refusedMs} ms before an outage of ${outageMs} ms${isCutFromPeers ? ", and the owner is cut off from its peers" : ""}`,
     async run(simulation) {
       const job = await startJob(simulation, "req-1");
       const { owner, other } = ownerAndOther(simulation, 0);
       simulation.store.refused.add(owner.index);
-      owner.cut.peers = fromPeers;
+      owner.cut.peers = isCutFromPeers;
       await simulation.run(refusedMs / 2);
       await Promise.race([simulation.cancel(job, other), simulation.run(refusedMs / 2)]);
       assert.ok(
         job.cancelledAt !== null && simulation.runningTaskCount(job) > 0,
-        "confirmed while its tasks run",
+        "the cancellation is confirmed while tasks run",
       );
       simulation.store.down = true;
       await simulation.run(outageMs);
@@ -72,39 +86,42 @@
   };
 }
 
-/** A node that is cut off from everything, as one that has gone silent seems to all others. */
-function setIsolated(node: SimulatedNode, silent: boolean): void {
-  node.cut.state = node.cut.peers = node.cut.workers = silent;
+/** Cuts a node off from the state service, its peers and the workers, or restores these links. */
+function setIsolated(node: SimulatedNode, isIsolated: boolean): void {
+  node.cut.state = node.cut.peers = node.cut.workers = isIsolated;
 }
 
 export const faultCombinations: FaultCombination[] = [
   {
-    name: "an owner is silent for over a minute, and what comes meanwhile is served by others",
+    name: "an owner is isolated for over a minute, and other controllers serve submissions and queries meanwhile",
     async run(simulation) {
       const before = await startJob(simulation, "req-1", { pieces: 8 });
       const { owner, other } = ownerAndOther(simulation, 0);
-      const silentSince = simulation.now;
+      const isolatedAt = simulation.now;
       setIsolated(owner, true);
       assert.ok(
         await simulation.runUntil(() => simulation.ownerOf(0) !== owner, 30_000),
-        "its shard has another owner",
+        "the shard has another owner",
       );
       const meanwhile = simulation.submit("req-2", { pieces: 4 });
-      assert.ok(await simulation.runUntil(() => meanwhile.isDone, 60_000), "a job that came meanwhile is done");
+      assert.ok(
+        await simulation.runUntil(() => meanwhile.isDone, 60_000),
+        "a job submitted meanwhile is done",
+      );
       assert.equal(
         (await Promise.race([simulation.queryJob(before, other), simulation.run(2000)]))?.status,
         200,
       );
-      await simulation.run(Math.max(30_000, silentSince + 70_000 - simulation.now));
+      await simulation.run(Math.max(30_000, isolatedAt + 70_000 - simulation.now));
       setIsolated(owner, false);
       await simulation.run(5000);
     },
   },
   {
-    name: "users ask hundreds of times a second, and leases, submissions and the state service's limit hold",
+    name: "users send 400 queries per second; submissions are accepted, no lease expires, and the state service's rate limit holds",
     async run(simulation) {
       const job = await startJob(simulation, "req-1", { pieces: 12 });
-      const begun = simulation.store.requests;
+      const requestsBefore = simulation.store.requests;
       const SECONDS = 20;
       let answered = 0;
       for (let i = 0; i < SECONDS * 10; i++) {
@@ -117,15 +134,18 @@
         if (i === 110)
           assert.ok(simulation.jobs.get("req-2")?.isAccepted, "a submission is accepted within a second");
       }
-      assert.ok(answered > SECONDS * 100, `${answered} answered`);
-      const perSecond = (simulation.store.requests - begun) / SECONDS;
-      assert.ok(perSecond < simulation.settings.state.rps, `${perSecond} requests a second`);
-      assert.equal(simulation.runningTaskCount(job), 12, "no task was lost to a lease");
+      assert.ok(answered > SECONDS * 100, `${answered} queries are answered`);
+      const perSecond = (simulation.store.requests - requestsBefore) / SECONDS;
+      assert.ok(
+        perSecond < simulation.settings.state.rps,
+        `${perSecond} requests per second to the state service`,
+      );
+      assert.equal(simulation.runningTaskCount(job), 12, "no task was lost to an expired lease");
     },
   },
   {
-    name: "a guest's huge array and a swarm of one-task jobs take what is left, and urgent work begins at once",
-    // The fourth team is in the first one's shard.
+    name: "one team's large array and many one-task jobs share spare capacity at low priority, and urgent tasks start at once",
+    // The fourth team is in the same shard as the first.
     settings: { teams: `${TEAMS}\n[[settings.teams]]\nname = "guest"` },
     async run(simulation) {
       simulation.cloud.capacity = 8;
@@ -140,23 +160,26 @@
       const urgent = simulation.submit("req-2", { rank: "urgent", pieces: 2, vcpus: 2 });
       assert.ok(
         await simulation.runUntil(() => simulation.runningTaskCount(urgent) === 2, 15_000),
-        "urgent work begins",
+        "the urgent tasks run",
       );
-      const swarm = [...simulation.jobs.values()].filter(({ id }) => /^req-1\d\d$/.test(id));
+      const smallJobs = [...simulation.jobs.values()].filter(({ id }) => /^req-1\d\d$/.test(id));
       assert.ok(
-        await simulation.runUntil(() => swarm.every((job) => job.isDone), 240_000),
-        "the swarm is served",
+        await simulation.runUntil(() => smallJobs.every((job) => job.isDone), 240_000),
+        "the one-task jobs are done",
       );
     },
   },
   {
-    name: "half of the machines come up late or never while a queue waits, and all of it runs soon",
+    name: "half of the machines boot late or never, and all queued tasks still start within 45 s",
     async run(simulation) {
       simulation.workers.late = 0.5;
       for (let i = 0; i < 10; i++) submitLongJob(simulation, `req-${i}`, { pieces: 8 });
-      const all = [...simulation.jobs.values()];
-      const running = (): number => all.reduce((sum, job) => sum + simulation.runningTaskCount(job), 0);
-      assert.ok(await simulation.runUntil(() => running() === 80, 45_000), `${running()} of 80 tasks run`);
+      const jobs = [...simulation.jobs.values()];
+      const runningCount = (): number => jobs.reduce((sum, job) => sum + simulation.runningTaskCount(job), 0);
+      assert.ok(
+        await simulation.runUntil(() => runningCount() === 80, 45_000),
+        `${runningCount()} of 80 tasks run`,
+      );
       simulation.workers.late = 0;
     },
   },
@@ -165,23 +188,29 @@
   cancelBeforeOutage(500, 45_000, false),
   cancelBeforeOutage(8000, 45_000, true),
   {
-    name: "a job is cancelled while the state service refuses its owner alone, who starts no more of it",
+    name: "a job is cancelled while the state service refuses its owner, and the owner starts none of its waiting tasks",
     async run(simulation) {
       simulation.cloud.capacity = 4;
       (simulation.workers.runOf ??= new Map()).set("req-1", 3000);
       const job = simulation.submit("req-1", { pieces: 400, guessS: 2 });
-      assert.ok(await simulation.runUntil(() => job.completedTasks.size > 8, 60_000), "it runs");
+      assert.ok(
+        await simulation.runUntil(() => job.completedTasks.size > 8, 60_000),
+        "the first tasks are completed",
+      );
       const { owner, other } = ownerAndOther(simulation, 0);
       simulation.store.refused.add(owner.index);
       await Promise.race([simulation.cancel(job, other), simulation.run(3000)]);
-      assert.ok(job.cancelledAt !== null && job.completedTasks.size < 300, "confirmed while tasks wait");
+      assert.ok(
+        job.cancelledAt !== null && job.completedTasks.size < 300,
+        "the cancellation is confirmed while tasks wait",
+      );
       await simulation.run(12_000);
       assert.equal(simulation.invariants.startsAfterCancellation, 0);
       simulation.store.refused.delete(owner.index);
     },
   },
   {
-    name: "a job is cancelled while its owner renews its hold and hears of no change",
+    name: "a job is cancelled while its owner renews its lease and receives no changes from the state service",
     async run(simulation) {
       const job = await startJob(simulation, "req-1");
       const { owner, other } = ownerAndOther(simulation, 0);
@@ -190,14 +219,14 @@
       await Promise.race([simulation.cancel(job, other), simulation.run(3000)]);
       assert.ok(
         job.cancelledAt !== null && simulation.runningTaskCount(job) > 0,
-        "confirmed while its tasks run",
+        "the cancellation is confirmed while tasks run",
       );
       await simulation.run(45_000);
       owner.cut.watches = false;
     },
   },
   {
-    name: "a leader ends while machines with long tasks cannot be reached, and others do not hear the next one",
+    name: "an owner restarts while the heartbeats of half of the machines are lost, and the responses to the other half",
     async run(simulation) {
       await startJob(simulation, "req-1", { pieces: 12 });
       const { owner } = ownerAndOther(simulation, 0);
@@ -209,7 +238,7 @@
     },
   },
   {
-    name: "transactions without an answer are carried out late, after newer ones",
+    name: "transactions get no response and are applied late, after newer ones",
     async run(simulation) {
       simulation.delayedTransactionShare = 0.4;
       for (let i = 0; i < 8; i++) {
@@ -223,8 +252,8 @@
     },
   },
   {
-    name: "a team is at its limit when its owner ends, machines cannot be asked, and a job is cancelled meanwhile",
-    // Long enough that the next owner decides while tasks of the last one still run.
+    name: "a shard's owner crashes while a team is at its limit and heartbeats are lost, and a job is cancelled meanwhile",
+    // The lease is so long that tasks of the previous owner still run when the next one decides.
     settings: { leaseS: 24, cancelS: 70 },
     async run(simulation) {
       const cancelled = await startJob(simulation, "req-1", { crew: "tight", pieces: 4, vcpus: 2 });
@@ -233,16 +262,19 @@
       simulation.crash(owner);
       await Promise.race([simulation.cancel(cancelled, other), simulation.run(5000)]);
       assert.ok(await simulation.runUntil(() => simulation.ownerOf(2) !== owner, 30_000));
-      // Accepted in the new owner's term, so that it need not wait for machines that nobody has heard.
+      // The new owner accepts this job itself, so the job need not wait for machines that have not reported yet.
       submitLongJob(simulation, "req-2", { crew: "tight", pieces: 8, vcpus: 2 });
       await simulation.run(9000);
-      assert.ok(simulation.runningTaskCount(cancelled) > 0, "what was cancelled still runs unseen");
+      assert.ok(
+        simulation.runningTaskCount(cancelled) > 0,
+        "tasks of the cancelled job still run without reporting",
+      );
       for (const m of simulation.cloud.machines.values()) m.reportsLost = false;
       simulation.startNode(owner);
     },
   },
   {
-    name: "a zone with workers and a controller is cut off for longer than a lease",
+    name: "a zone with workers and a controller is isolated for longer than a lease",
     async run(simulation) {
       await startJob(simulation, "req-1", { spread: true, pieces: 12 });
       submitLongJob(simulation, "req-2", { crew: "capped", pieces: 8 });
@@ -252,7 +284,7 @@
     },
   },
   {
-    name: "old reports arrive after newer ones, also at the next owner",
+    name: "old heartbeats arrive after newer ones, at the next owner too",
     async run(simulation) {
       simulation.workers.copies = 1;
       for (let i = 0; i < 4; i++) {
@@ -265,32 +297,34 @@
     },
   },
   {
-    name: "a report from before a machine's tasks is held back until the next owner has acted, and arrives there",
+    name: "heartbeats from before a machine's tasks started arrive once more at the next owner after it has taken over",
     settings: { leaseS: 24, cancelS: 70 },
     async run(simulation) {
       simulation.isRecordingHeartbeats = true;
       await startJob(simulation, "req-1");
       simulation.isRecordingHeartbeats = false;
       const { owner } = ownerAndOther(simulation, 0);
-      const [full] = [...simulation.cloud.machines.values()].sort((a, b) => b.running.size - a.running.size);
-      full!.reportsLost = true;
+      const [fullest] = [...simulation.cloud.machines.values()].sort(
+        (a, b) => b.running.size - a.running.size,
+      );
+      fullest!.reportsLost = true;
       simulation.crash(owner);
       assert.ok(await simulation.runUntil(() => simulation.ownerOf(0) !== owner, 30_000));
       await simulation.run(1000);
       simulation.replayEmptyHeartbeats();
       await simulation.run(8000);
-      full!.reportsLost = false;
+      fullest!.reportsLost = false;
       simulation.startNode(owner);
     },
   },
   {
-    name: "jobs of two or three tasks end far apart across a change of leader",
+    name: "tasks of the same job end far apart while the leader and then an owner restart",
     async run(simulation) {
       const runs = (simulation.workers.runOf ??= new Map());
       for (let i = 0; i < 6; i++) {
         simulation.submit(`req-${i}`, { pieces: 2 + (i % 2), vcpus: 3 });
         runs.set(`req-${i}`, 2000);
-        // What starts later runs much longer.
+        // Tasks that start after the second one run much longer.
         simulation.onFirstStart(`req-${i}/1`, () => runs.set(`req-${i}`, 25_000));
       }
       await simulation.run(15_000);
@@ -300,7 +334,7 @@
     },
   },
   {
-    name: "a leader is cut from the state service and its peers, workers and users reach it, and jobs are cancelled elsewhere",
+    name: "a leader is cut off from the state service and its peers, and no user gets an outdated state from it of jobs cancelled elsewhere",
     async run(simulation) {
       const jobs = [
         await startJob(simulation, "req-1"),
@@ -315,7 +349,7 @@
         simulation.run(8000),
       ]);
       assert.ok(jobs.every((job) => job.cancelledAt !== null));
-      // Whoever is asked, also the one that is cut off, tells nothing older.
+      // The leader that is cut off must not report an older state either.
       for (let i = 0; i < 5; i++) {
         for (const job of jobs) await Promise.race([simulation.queryJob(job, leader), simulation.run(2500)]);
         await simulation.run(4000);
@@ -324,7 +358,7 @@
     },
   },
   {
-    name: "an owner is cut from the state service and its peers, and long tasks run on workers that still reach it",
+    name: "an owner is cut off from the state service and its peers while workers with long tasks still reach it",
     async run(simulation) {
       await startJob(simulation, "req-1", { pieces: 10 });
       const { owner } = ownerAndOther(simulation, 0);
@@ -334,7 +368,7 @@
     },
   },
   {
-    name: "controllers hand over and back, all end, and one returns within a fraction of a second",
+    name: "a shard is handed over repeatedly, then all controllers crash and one restarts after 0.3 s",
     async run(simulation) {
       await startJob(simulation, "req-1", { pieces: 10 });
       for (let i = 0; i < 3; i++) {
@@ -352,7 +386,7 @@
     },
   },
   {
-    name: "answers are held up for seconds, machines hang, and then go on",
+    name: "responses to workers are delayed by seconds while machines hang and resume",
     async run(simulation) {
       const job = await startJob(simulation, "req-1", { pieces: 10 });
       submitLongJob(simulation, "req-2", { pieces: 20 });
@@ -364,7 +398,7 @@
     },
   },
   {
-    name: "the state service is slow, refuses the leader alone and then everybody while users cancel and ask",
+    name: "the state service is slow, then refuses the leader, then everyone, while users cancel jobs",
     async run(simulation) {
       const job = await startJob(simulation, "req-1");
       simulation.stateLatencyMs = 600;
@@ -383,7 +417,7 @@
     },
   },
   {
-    name: "workers reach no controller, and a job of theirs is cancelled",
+    name: "a job is cancelled while its workers reach no controller",
     async run(simulation) {
       const job = await startJob(simulation, "req-1", { pieces: 8 });
       await startJob(simulation, "req-2", { pieces: 8 });
@@ -394,15 +428,15 @@
     },
   },
   {
-    name: "there is more work than room, urgent and not, over slow links",
+    name: "jobs of all priorities exceed the capacity while responses to workers are slow",
     async run(simulation) {
       simulation.cloud.capacity = 4;
       simulation.maxResponseDelayMs = 1500;
       for (let i = 0; i < 24; i++) {
         const rank = ["best_effort", "normal", "urgent"][i % 3];
         const crew = ["free", "capped", "tight"][simulation.randomBelow(3)];
-        const over = { rank, crew, pieces: 3, markEveryS: 5, markCostS: 1, vcpus: 1 + (i % 3) };
-        simulation.submit(`req-${i}`, over);
+        const overrides = { rank, crew, pieces: 3, markEveryS: 5, markCostS: 1, vcpus: 1 + (i % 3) };
+        simulation.submit(`req-${i}`, overrides);
         await simulation.run(1000);
       }
       await simulation.run(10_000);
@@ -410,7 +444,7 @@
     },
   },
   {
-    name: "one shard holds every machine at the fleet's cap when another's first job comes",
+    name: "one shard holds all machines at the cloud's capacity, and the first job of another shard still gets one",
     async run(simulation) {
       simulation.cloud.capacity = 4;
       for (let i = 0; i < 12; i++) simulation.submit(`req-${i}`, { pieces: 4, vcpus: 3 });
@@ -419,13 +453,13 @@
       const waiting = simulation.submit("req-20", { crew: "capped", pieces: 2 });
       assert.ok(
         await simulation.runUntil(() => simulation.runningTaskCount(waiting) > 0, 75_000),
-        "it gets a machine",
+        "the other shard's job runs",
       );
       assert.ok(simulation.unfinishedJobs().length > 2, "the first shard still has a queue");
     },
   },
   {
-    name: "jobs bound to one zone, and arrays that are together or spread, lose machines",
+    name: "jobs with placement constraints lose half of the machines before their owner restarts",
     async run(simulation) {
       await startJob(simulation, "req-1", { bank: "south" });
       await startJob(simulation, "req-2", { together: true });
@@ -437,20 +471,21 @@
     },
   },
   {
-    name: "cancellations, questions and repeats meet the end of a job's last task",
+    name: "jobs are cancelled, queried and submitted again as their last task completes",
     async run(simulation) {
-      const end = faults.cancelAtCompletion!(simulation, 60_000);
+      const cancellations = faults.cancelAtCompletion!(simulation, 60_000);
       for (let i = 0; i < 20; i++) {
         const job = simulation.submit(`req-${i}`, { pieces: 1 + (i % 3) });
         (simulation.workers.runOf ??= new Map()).set(job.id, 1000 + simulation.randomBelow(4000));
         await simulation.run(2500);
-        for (const known of simulation.jobs.values()) if (known.isAccepted) void simulation.resubmit(known);
+        for (const submitted of simulation.jobs.values())
+          if (submitted.isAccepted) void simulation.resubmit(submitted);
       }
-      await Promise.race([end, simulation.run(60_000)]);
+      await Promise.race([cancellations, simulation.run(60_000)]);
     },
   },
   {
-    name: "all controllers are away for longer than a lease",
+    name: "all controllers are down for longer than a lease",
     async run(simulation) {
       await startJob(simulation, "req-1", { pieces: 10 });
       submitLongJob(simulation, "req-2", { crew: "tight", pieces: 10 });
@@ -460,7 +495,7 @@
     },
   },
   {
-    name: "leaders change ten times in two minutes, also inside an outage",
+    name: "the leader crashes ten times in two minutes, also during an outage of the state service",
     async run(simulation) {
       await startJob(simulation, "req-1", { pieces: 10 });
       for (let i = 0; i < 10; i++) {
@@ -477,7 +512,7 @@
     },
   },
   {
-    name: "jobs are cancelled at once while their machines hang",
+    name: "all jobs are cancelled at the same time while their machines hang",
     async run(simulation) {
       const jobs = [];
       for (let i = 0; i < 4; i++) jobs.push(await startJob(simulation, `req-${i}`, { pieces: 4 }));
--- a/test/support/faults.ts
+++ b/test/support/faults.ts
@@ -1,48 +1,50 @@
-/** Faults that meet by chance: each begins at some moment and is over after a while. */
+/** Faults for random injection into a simulation, each with its start and end. */
 import { sleep } from "../../src/runtime/sleep.js";
 import { submission } from "./cluster.js";
 import type { Cuts, Simulation, SimulatedNode, UserJob } from "./simulation.js";
 
-type Fault = (simulation: Simulation, forMs: number) => Promise<void>;
+/** Injects a fault, and resolves when it has ended. Faults with a natural end of their own ignore the duration. */
+type Fault = (simulation: Simulation, durationMs: number) => Promise<void>;
 
 const randomNode = (simulation: Simulation): SimulatedNode =>
   simulation.nodes[simulation.randomBelow(simulation.nodes.length)]!;
 
-/** The node that leads, or owns the first shard, or any: where it hurts most. */
+/** The leader, the owner of the first shard or any node: faults of the first two have the most effects. */
 const randomFaultTarget = (simulation: Simulation): SimulatedNode =>
   [simulation.leader(), simulation.ownerOf(0), randomNode(simulation)][simulation.randomBelow(3)] ??
   randomNode(simulation);
 
-async function cutLinks(simulation: Simulation, forMs: number, what: (keyof Cuts)[]): Promise<void> {
+async function cutLinks(simulation: Simulation, durationMs: number, links: (keyof Cuts)[]): Promise<void> {
   const node = randomFaultTarget(simulation);
-  for (const from of what) node.cut[from] = true;
-  await sleep(forMs);
-  for (const from of what) node.cut[from] = false;
+  for (const link of links) node.cut[link] = true;
+  await sleep(durationMs);
+  for (const link of links) node.cut[link] = false;
 }
 
-async function crash(simulation: Simulation, node: SimulatedNode, backMs: number): Promise<void> {
+async function crash(simulation: Simulation, node: SimulatedNode, downtimeMs: number): Promise<void> {
   simulation.crash(node);
-  await sleep(backMs);
-  // Another fault may have brought it back meanwhile.
+  await sleep(downtimeMs);
+  // Another fault may have restarted the node meanwhile.
   if (node.instance === null) simulation.startNode(node);
 }
 
-/** A return within a fraction of a second is as likely as one after some seconds. */
+/** A restart after 0.15 to 0.45 s is as likely as one after 1.5 to 4.5 s. */
 const randomDowntimeMs = (simulation: Simulation): number =>
   (simulation.randomFraction() < 0.5 ? 300 : 3000) * (0.5 + simulation.randomFraction());
 
+/** Selects each machine with a probability of 0.4. */
 const randomMachines = (simulation: Simulation) =>
   [...simulation.cloud.machines.values()].filter(() => simulation.randomFraction() < 0.4);
 
 async function impairMachines(
   simulation: Simulation,
-  forMs: number,
-  how: "responsesLost" | "reportsLost" | "sick",
+  durationMs: number,
+  flag: "responsesLost" | "reportsLost" | "sick",
 ): Promise<void> {
   const machines = randomMachines(simulation);
-  for (const machine of machines) machine[how] = true;
-  await sleep(forMs);
-  for (const machine of machines) machine[how] = false;
+  for (const machine of machines) machine[flag] = true;
+  await sleep(durationMs);
+  for (const machine of machines) machine[flag] = false;
 }
 
 const cancellableJobs = (simulation: Simulation): UserJob[] =>
@@ -53,8 +55,8 @@
   async crashAllNodes(simulation) {
     await Promise.all(simulation.nodes.map((node) => crash(simulation, node, randomDowntimeMs(simulation))));
   },
-  async allNodesDown(simulation, forMs) {
-    await Promise.all(simulation.nodes.map((node) => crash(simulation, node, forMs)));
+  async allNodesDown(simulation, durationMs) {
+    await Promise.all(simulation.nodes.map((node) => crash(simulation, node, durationMs)));
   },
   async repeatedLeaderCrashes(simulation) {
     for (let i = 0; i < 5; i++) {
@@ -63,52 +65,52 @@
       await sleep(5000 * simulation.randomFraction());
     }
   },
-  cutFromState: (simulation, forMs) => cutLinks(simulation, forMs, ["state"]),
-  cutFromStateAndPeers: (simulation, forMs) => cutLinks(simulation, forMs, ["state", "peers"]),
-  cutFromWorkers: (simulation, forMs) => cutLinks(simulation, forMs, ["workers"]),
-  cutFromAll: (simulation, forMs) => cutLinks(simulation, forMs, ["state", "peers", "workers"]),
-  async zoneIsolated(simulation, forMs) {
+  cutFromState: (simulation, durationMs) => cutLinks(simulation, durationMs, ["state"]),
+  cutFromStateAndPeers: (simulation, durationMs) => cutLinks(simulation, durationMs, ["state", "peers"]),
+  cutFromWorkers: (simulation, durationMs) => cutLinks(simulation, durationMs, ["workers"]),
+  cutFromAll: (simulation, durationMs) => cutLinks(simulation, durationMs, ["state", "peers", "workers"]),
+  async zoneIsolated(simulation, durationMs) {
     simulation.isolatedZone = simulation.randomFraction() < 0.5 ? "north" : "south";
-    await sleep(forMs);
+    await sleep(durationMs);
     simulation.isolatedZone = null;
   },
-  async responsesDelayed(simulation, forMs) {
+  async responsesDelayed(simulation, durationMs) {
     simulation.maxResponseDelayMs = 6000;
-    await sleep(forMs);
+    await sleep(durationMs);
     simulation.maxResponseDelayMs = 0;
   },
-  async stateServiceRefusesOneNode(simulation, forMs) {
+  async stateServiceRefusesOneNode(simulation, durationMs) {
     const { index } = randomFaultTarget(simulation);
     simulation.store.refused.add(index);
-    await sleep(forMs);
+    await sleep(durationMs);
     simulation.store.refused.delete(index);
   },
-  async stateServiceOutage(simulation, forMs) {
+  async stateServiceOutage(simulation, durationMs) {
     simulation.store.down = true;
-    await sleep(forMs);
+    await sleep(durationMs);
     simulation.store.down = false;
   },
-  async stateServiceSlow(simulation, forMs) {
+  async stateServiceSlow(simulation, durationMs) {
     simulation.stateLatencyMs = 400;
-    await sleep(forMs);
+    await sleep(durationMs);
     simulation.stateLatencyMs = 4;
   },
-  async transactionsDelayed(simulation, forMs) {
+  async transactionsDelayed(simulation, durationMs) {
     simulation.delayedTransactionShare = 0.3;
-    await sleep(forMs);
+    await sleep(durationMs);
     simulation.delayedTransactionShare = 0;
   },
-  async heartbeatsDuplicated(simulation, forMs) {
+  async heartbeatsDuplicated(simulation, durationMs) {
     simulation.workers.copies = 0.3;
-    await sleep(forMs);
+    await sleep(durationMs);
     simulation.workers.copies = 0;
   },
-  async machinesHang(simulation, forMs) {
-    await Promise.all(randomMachines(simulation).map((machine) => machine.hang(forMs / 2)));
+  async machinesHang(simulation, durationMs) {
+    await Promise.all(randomMachines(simulation).map((machine) => machine.hang(durationMs / 2)));
   },
-  machineResponsesLost: (simulation, forMs) => impairMachines(simulation, forMs, "responsesLost"),
-  machineHeartbeatsLost: (simulation, forMs) => impairMachines(simulation, forMs, "reportsLost"),
-  machinesFailTasks: (simulation, forMs) => impairMachines(simulation, forMs, "sick"),
+  machineResponsesLost: (simulation, durationMs) => impairMachines(simulation, durationMs, "responsesLost"),
+  machineHeartbeatsLost: (simulation, durationMs) => impairMachines(simulation, durationMs, "reportsLost"),
+  machinesFailTasks: (simulation, durationMs) => impairMachines(simulation, durationMs, "sick"),
   machinesTerminated(simulation) {
     for (const { host } of randomMachines(simulation)) simulation.cloud.machines.get(host)?.stop();
     return Promise.resolve();
@@ -118,18 +120,18 @@
     const hung = randomMachines(simulation).map((machine) => machine.hang(8000));
     await Promise.all([...jobs.map((job) => simulation.cancel(job)), ...hung]);
   },
-  /** Users call jobs off at the very end of their last task. */
-  async cancelAtCompletion(simulation, forMs) {
-    const until = simulation.now + forMs;
+  /** Users cancel jobs whose last task has just completed, before the jobs are reported as done. */
+  async cancelAtCompletion(simulation, durationMs) {
+    const until = simulation.now + durationMs;
     while (simulation.now < until) {
       for (const job of cancellableJobs(simulation))
         if (job.completedTasks.size === Number(job.body.pieces)) void simulation.cancel(job);
       await sleep(50);
     }
   },
-  /** Repeats of what is known already, and what can't run or lacks a field. */
-  async invalidRequests(simulation, forMs) {
-    const until = simulation.now + forMs;
+  /** Users submit accepted jobs once more, jobs that fit no machine, and jobs without a required field. */
+  async invalidRequests(simulation, durationMs) {
+    const until = simulation.now + durationMs;
     while (simulation.now < until) {
       const jobs = [...simulation.jobs.values()].filter((job) => job.isAccepted);
       const job = jobs[simulation.randomBelow(jobs.length)];
@@ -144,17 +146,20 @@
   },
 };
 
-/** So many faults, which begin within a spell of simulated time and may overlap; resolves when all are over. */
+/**
+ * Injects random faults, which start within a window of simulated time and may overlap. Returns their names when all have
+ * ended.
+ */
 export async function injectRandomFaults(
   simulation: Simulation,
   count: number,
-  spellMs: number,
+  windowMs: number,
 ): Promise<string[]> {
   const names = Object.keys(faults);
   const chosen = Array.from({ length: count }, () => names[simulation.randomBelow(names.length)]!);
   await Promise.all(
     chosen.map(async (name) => {
-      await sleep(simulation.randomFraction() * spellMs);
+      await sleep(simulation.randomFraction() * windowMs);
       await faults[name]!(
         simulation,
         1000 + simulation.randomFraction() * simulation.randomFraction() * 60_000,
--- a/test/support/invariant-checker.ts
+++ b/test/support/invariant-checker.ts
@@ -1,47 +1,47 @@
-/** What the rules forbid, watched from the workers' and the users' side while a simulated deployment runs. */
+/** Invariants of a simulated deployment, checked against what the workers and the users observe. */
 import type { Simulation } from "./simulation.js";
 import type { UserJob } from "./user-job.js";
 import type { WorkerStandIn } from "./worker.js";
 
-/** Once faults are over nobody waits so long beside a machine that fits and has room. */
+/** After the last fault, no task waits for longer than this while a suitable machine has free capacity. */
 const MAX_STARTABLE_WAIT_MS = 90_000;
-/** Once faults are over every question is answered within this. */
+/** After the last fault, the user of a job never goes without a response for longer than this. */
 const MAX_RESPONSE_GAP_MS = 75_000;
-/** A start that was sent before its job was confirmed as cancelled has come within this. */
+/** A command to start a task that was sent before the cancellation was confirmed arrives within this time. */
 const MAX_START_DELAY_MS = 500;
-/** What a machine of the stand-in cloud holds. */
+/** The CPUs of each machine of the fake cloud. */
 const MACHINE_CPUS = 4;
 
-/** Notes what goes against the rules with the simulation that it watches. */
+/** Records violations of the invariants with the simulation that it checks. */
 export class InvariantChecker {
-  /** Starts of tasks whose job's cancellation had been confirmed before the start was sent; allowed, and of no use. */
+  /** The number of starts sent after their job's cancellation was confirmed; these are wasteful but allowed. */
   startsAfterCancellation = 0;
 
   constructor(private readonly simulation: Simulation) {}
 
-  /** The rules that can be broken by a start. */
-  checkStart(piece: string, worker: WorkerStandIn): void {
-    const job = this.simulation.jobOfTask(piece)!;
+  /** Checks the invariants that the start of a task can violate. */
+  checkStart(task: string, worker: WorkerStandIn): void {
+    const job = this.simulation.jobOfTask(task)!;
     if (job.cancelledAt !== null && this.simulation.now - job.cancelledAt > MAX_START_DELAY_MS)
       this.startsAfterCancellation++;
-    for (const twice of this.simulation.cloud.duplicateRuns)
-      this.simulation.recordViolation(`ran_twice: ${twice}`);
+    for (const duplicate of this.simulation.cloud.duplicateRuns)
+      this.simulation.recordViolation(`ran_twice: ${duplicate}`);
     this.checkQuota(String(job.body.crew));
-    const wrong = this.placementViolation(job, piece, worker);
-    if (wrong !== null) this.simulation.recordViolation(`wrong_place: ${piece} ${wrong}`);
+    const violation = this.placementViolation(job, task, worker);
+    if (violation !== null) this.simulation.recordViolation(`wrong_place: ${task} ${violation}`);
   }
 
   private cpusUsedBy(team: string): number {
     let used = 0;
     for (const worker of this.simulation.cloud.machines.values())
-      for (const piece of worker.running) {
-        const { body } = this.simulation.jobOfTask(piece)!;
+      for (const task of worker.running) {
+        const { body } = this.simulation.jobOfTask(task)!;
         if (body.crew === team) used += Number(body.vcpus);
       }
     return used;
   }
 
-  /** What a team may use at a time. */
+  /** The CPUs that a team may use at a time; infinite without a limit. */
   private cpuLimitOf(team: string): number {
     const limit = this.simulation.settings.teams.find((t) => t.name === team)?.cpusMax ?? 0;
     return limit > 0 ? limit : Infinity;
@@ -53,35 +53,35 @@
     if (used > limit + 1e-9) this.simulation.recordViolation(`quota: ${team} uses ${used} of ${limit}`);
   }
 
-  /** Why a task may not be where it is, given the job's other tasks. */
-  private placementViolation(job: UserJob, piece: string, worker: WorkerStandIn): string | null {
+  /** Why a task may not run on a machine, given the job's other tasks; null if it may. */
+  private placementViolation(job: UserJob, task: string, worker: WorkerStandIn): string | null {
     const { bank, together, spread, loaners, pieces } = job.body;
     const zones = new Map<string, number>();
     for (const { running, zone } of this.simulation.cloud.machines.values())
       for (const other of running)
-        if (other !== piece && this.simulation.jobOfTask(other) === job)
+        if (other !== task && this.simulation.jobOfTask(other) === job)
           zones.set(zone, (zones.get(zone) ?? 0) + 1);
-    const elsewhere = [...zones.keys()].some((zone) => zone !== worker.zone);
-    const crowded = (zones.get(worker.zone) ?? 0) + 1 > Math.ceil(Number(pieces) / 2);
+    const hasTaskElsewhere = [...zones.keys()].some((zone) => zone !== worker.zone);
+    const isZoneOverfull = (zones.get(worker.zone) ?? 0) + 1 > Math.ceil(Number(pieces) / 2);
     if (bank && bank !== worker.zone) return "outside its zone";
-    if (worker.spot && loaners === false) return "on a cheap machine";
-    if (together === true && elsewhere) return "apart from its job";
-    if (spread === true && crowded) return "where half of its job is";
+    if (worker.spot && loaners === false) return "on a spot machine";
+    if (together === true && hasTaskElsewhere) return "in another zone than its job's other tasks";
+    if (spread === true && isZoneOverfull) return "in a zone with more than half of its job's tasks";
     return null;
   }
 
-  /** A cancelled job's tasks are gone in time, whoever confirmed it. */
+  /** Checks that no task still runs `cancelMs` after the cancellation of its job was confirmed by any controller. */
   checkCancelledJobs(): void {
     const { cancelMs } = this.simulation.settings.workers;
     for (const worker of this.simulation.cloud.machines.values())
-      for (const piece of worker.running) {
-        const { cancelledAt } = this.simulation.jobOfTask(piece)!;
+      for (const task of worker.running) {
+        const { cancelledAt } = this.simulation.jobOfTask(task)!;
         if (cancelledAt !== null && this.simulation.now > cancelledAt + cancelMs)
-          this.simulation.recordViolation(`ran_cancelled: ${piece}`);
+          this.simulation.recordViolation(`ran_cancelled: ${task}`);
       }
   }
 
-  /** Nobody waits for long beside room, and every question is answered now and then. */
+  /** Checks that no startable task waits for too long, and that users get responses; only after the last fault. */
   checkWaitingJobs(): void {
     const running = new Set(
       [...this.simulation.cloud.machines.values()].flatMap((worker) => [...worker.running]),
@@ -92,19 +92,19 @@
         this.simulation.now - Math.max(job.lastResponseAt, this.simulation.faultsEndedAt) >
         MAX_RESPONSE_GAP_MS
       )
-        this.simulation.recordViolation(`forgotten: ${job.id} is not told of`);
-      // What fails as soon as it starts is seen to wait, however often it is tried.
+        this.simulation.recordViolation(`forgotten: ${job.id} has no response for ${MAX_RESPONSE_GAP_MS} ms`);
+      // Tasks that fail as soon as they start seem to wait, however often they are attempted.
       if (this.simulation.workers.faulty?.has(job.id)) continue;
       const tasks = Array.from({ length: Number(job.body.pieces) }, (_, i) => `${job.id}/${i}`);
-      const waits = tasks.some((task) => !running.has(task) && !job.completedTasks.has(task));
-      const room =
-        waits &&
+      const hasWaitingTask = tasks.some((task) => !running.has(task) && !job.completedTasks.has(task));
+      const isStartable =
+        hasWaitingTask &&
         this.isBelowLimit(job) &&
         [...this.simulation.cloud.machines.values()].some((worker) => this.hasRoom(worker, job));
-      if (!room) job.startableSince = null;
+      if (!isStartable) job.startableSince = null;
       else job.startableSince ??= this.simulation.now;
       if (job.startableSince !== null && this.simulation.now - job.startableSince > MAX_STARTABLE_WAIT_MS)
-        this.simulation.recordViolation(`neglected: ${job.id}`);
+        this.simulation.recordViolation(`neglected: ${job.id} waits while a machine has room`);
     }
   }
 
@@ -115,7 +115,7 @@
 
   private hasRoom(worker: WorkerStandIn, job: UserJob): boolean {
     let used = 0;
-    for (const piece of worker.running) used += Number(this.simulation.jobOfTask(piece)!.body.vcpus);
+    for (const task of worker.running) used += Number(this.simulation.jobOfTask(task)!.body.vcpus);
     return (
       worker.well &&
       used + Number(job.body.vcpus) <= MACHINE_CPUS &&
--- a/test/support/known-red.ts
+++ b/test/support/known-red.ts
@@ -1,7 +1,7 @@
-/** Tests that fail for a fault that is known and not mended yet: they run, and are printed, and hold up nothing else. */
+/** Tests that are known to fail for a fault that is not fixed yet: they run and are printed, but do not fail the suite. */
 import { readFileSync } from "node:fs";
 
-/** More than a few would hide what is new. */
+/** A longer list would hide new failures. */
 const MAX_KNOWN_FAILURES = 3;
 
 const reasons = new Map<string, string>();
@@ -12,7 +12,7 @@
 if (reasons.size > MAX_KNOWN_FAILURES)
   throw new Error(`KNOWN-RED.txt lists more than ${MAX_KNOWN_FAILURES} tests`);
 
-/** What a test is to be told: the runner prints its failure with this reason. */
+/** The options for a test; `todo` makes the runner print a known failure with its reason. */
 export function knownFailure(name: string): { todo?: string } {
   const reason = reasons.get(name);
   return reason === undefined ? {} : { todo: reason };
