--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -1,4 +1,4 @@
-/** What happens where two faults meet: whole deployments in simulated time, watched from the workers' and users' side. */
+/** Coinciding faults: whole deployments in simulated time, checked against what workers and users observe. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { knownFailure } from "./support/known-red.js";
@@ -10,53 +10,53 @@
 import { injectRandomFaults } from "./support/faults.js";
 import { TEAMS, work } from "./support/workload.js";
 
-/** Within this of the end of all faults all that was accepted is done. */
+/** All accepted jobs end within this time after the last fault. */
 const MAX_COMPLETION_MS = 600_000;
 
-/** How many randomized scenarios are played; more of them can be asked for by hand. */
+/** The seeds of the random scenarios; `RANDOM_SCENARIOS=FIRST-LAST` runs others. */
 const [FIRST = 1, LAST = 16] = (process.env.RANDOM_SCENARIOS ?? "").split("-").filter(Boolean).map(Number);
 
-/** With `LINK_MONITOR=enforce` all of it is played with the link monitor switched on. */
+/** `LINK_MONITOR=enforce` runs all scenarios with the link monitor's policy enforced. */
 const OPERATOR = { links: { mode: process.env.LINK_MONITOR ?? "off" } };
 
-/** Plays a day, and sees that all ends well once its faults are over. */
+/** Runs a scenario, and checks that no invariant is violated and that all accepted jobs end after its faults. */
 async function runScenario(
   seed: number,
-  play: (simulation: Simulation) => Promise<unknown>,
+  run: (simulation: Simulation) => Promise<unknown>,
   settings: SettingsOptions = {},
 ): Promise<void> {
   const simulation = Simulation.start(3, seed, { teams: TEAMS, operator: OPERATOR, ...settings });
   try {
     await simulation.run(10_000);
-    const about = String(await play(simulation));
+    const message = String(await run(simulation));
     simulation.faultsEndedAt = simulation.now;
     await simulation.runUntil(() => simulation.unfinishedJobs().length === 0, MAX_COMPLETION_MS);
     assert.deepEqual(
-      { broken: simulation.violations, open: simulation.unfinishedJobs() },
-      { broken: [], open: [] },
-      about,
+      { violations: simulation.violations, unfinished: simulation.unfinishedJobs() },
+      { violations: [], unfinished: [] },
+      message,
     );
   } finally {
     simulation.close();
   }
 }
 
-for (const { name: combination, run: play, settings } of [
+for (const { name: combination, run, settings } of [
   ...faultCombinations,
   ...jobMigrations,
   ...cancellationChains,
 ]) {
-  const name = `faults combined: ${combination}`;
+  const name = `fault combination: ${combination}`;
   test(name, knownFailure(name), async () => {
-    for (let seed = 1; seed <= 2; seed++) await runScenario(seed, play, settings);
+    for (let seed = 1; seed <= 2; seed++) await runScenario(seed, run, settings);
   });
 }
 
 for (let seed = FIRST; seed <= LAST; seed++)
-  test(`faults combined at random break no rule, and all that was accepted ends: randomized scenario ${seed}`, () =>
+  test(`ten random faults violate no invariant, and all accepted jobs end: seed ${seed}`, () =>
     runScenario(seed, async (simulation) => {
-      let met: string[] | null = null;
-      void injectRandomFaults(simulation, 10, 90_000).then((names) => (met = names));
-      await work(simulation, () => met !== null);
-      return met;
+      let injected: string[] | null = null;
+      void injectRandomFaults(simulation, 10, 90_000).then((names) => (injected = names));
+      await work(simulation, () => injected !== null);
+      return injected;
     }));
--- a/test/half-cut-dispatch.test.ts
+++ b/test/half-cut-dispatch.test.ts
@@ -1,6 +1,6 @@
 /**
- * A cut heals in the middle of a dispatch, and the two sides of a cut disagree about a job that has ended: in simulated
- * time, with the link monitor's policy enforced. Every attempt is counted.
+ * Links that are restored in the middle of a dispatch, and jobs whose end only one side of a cut knows: in simulated
+ * time, with the link monitor's policy enforced. No task may be started more often than necessary.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -10,14 +10,14 @@
 const ENFORCED = { teams: TEAMS, operator: { links: { mode: "enforce" } } };
 const CUT_MS = 1000;
 
-async function withSimulation(seed: number, play: (simulation: Simulation) => Promise<void>): Promise<void> {
+async function withSimulation(seed: number, run: (simulation: Simulation) => Promise<void>): Promise<void> {
   const simulation = Simulation.start(3, seed, ENFORCED);
   try {
     await simulation.run(10_000);
-    await play(simulation);
+    await run(simulation);
     assert.ok(
       await simulation.runUntil(() => simulation.unfinishedJobs().length === 0, 300_000),
-      `open: ${simulation.unfinishedJobs().join()}`,
+      `unfinished: ${simulation.unfinishedJobs().join()}`,
     );
     assert.deepEqual(simulation.violations, []);
   } finally {
@@ -25,7 +25,7 @@
   }
 }
 
-/** Cuts one direction of a link for a moment. */
+/** Cuts one direction of a link for a while. */
 async function cutLink(
   simulation: Simulation,
   node: SimulatedNode,
@@ -40,56 +40,59 @@
 }
 
 const startsOf = (simulation: Simulation, job: UserJob): string[] =>
-  simulation.cloud.startedTasks.filter((piece) => piece.startsWith(`${job.id}/`));
+  simulation.cloud.startedTasks.filter((task) => task.startsWith(`${job.id}/`));
 
-/** Each task ran once: nothing was repeated without need. */
+/** Asserts that each task was started exactly once. */
 function assertEachTaskRanOnce(simulation: Simulation, job: UserJob): void {
   const starts = startsOf(simulation, job);
   assert.equal(new Set(starts).size, Number(job.body.pieces), "each task started");
-  assert.equal(starts.length, Number(job.body.pieces), "and none a second time");
+  assert.equal(starts.length, Number(job.body.pieces), "no task started a second time");
 }
 
 const SUBMISSION_CUTS = [
-  { name: "before the write of a submission", direction: "outbound" },
-  { name: "after the write of a submission and before its answer", direction: "inbound" },
+  { name: "before a submission is written", direction: "outbound" },
+  { name: "between the write of a submission and the response to it", direction: "inbound" },
 ] as const;
 
 for (const { name, direction } of SUBMISSION_CUTS)
-  test(`the cut heals in the middle of a dispatch: ${name}`, () =>
+  test(`each task starts once after a cut ${name}`, () =>
     withSimulation(1, async (simulation) => {
       for (const node of simulation.nodes) node.cut.state = direction;
       const job = simulation.submit("req-1", { pieces: 6 });
       await simulation.run(CUT_MS);
-      const recorded = simulation.store.value("fernpond/live/jobs/req-1") !== undefined;
-      assert.equal(recorded, direction === "inbound", "the write has passed where only answers are cut");
+      const isRecorded = simulation.store.value("fernpond/live/jobs/req-1") !== undefined;
+      assert.equal(isRecorded, direction === "inbound", "the write succeeds if only responses are lost");
       for (const node of simulation.nodes) node.cut.state = false;
-      assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "it is done");
+      assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "the job is done");
       assertEachTaskRanOnce(simulation, job);
     }));
 
 const START_CUTS = [
-  { name: "after a start is decided and before the worker's answer", direction: "outbound" },
-  { name: "after the answer and before the report that proves it", direction: "inbound" },
+  { name: "between the decision to start a task and the response to its worker", direction: "outbound" },
+  {
+    name: "between the response to a worker and the heartbeat that confirms the start",
+    direction: "inbound",
+  },
 ] as const;
 
 for (const { name, direction } of START_CUTS)
-  test(`the cut heals in the middle of a dispatch: ${name}`, () =>
+  test(`each task starts once after a cut ${name}`, () =>
     withSimulation(2, async (simulation) => {
       const owner = simulation.ownerOf(0)!;
       const job = simulation.submit("req-1", { pieces: 12 });
-      let cut = false;
+      let isCut = false;
       simulation.onFirstStart("req-1/0", () => {
-        cut = true;
+        isCut = true;
         owner.cut.workers = direction;
       });
-      assert.ok(await simulation.runUntil(() => cut, 60_000), "its first task starts");
+      assert.ok(await simulation.runUntil(() => isCut, 60_000), "the first task starts");
       await simulation.run(CUT_MS);
       owner.cut.workers = false;
-      assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "it is done");
+      assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "the job is done");
       assertEachTaskRanOnce(simulation, job);
     }));
 
-test("the cut heals in the middle of a dispatch: an order whose answer is lost rents nothing twice", () =>
+test("tasks start once, and no machine is rented twice, if the response of the cloud to an order is lost", () =>
   withSimulation(3, async (simulation) => {
     const ordersSeen = new Map<string, number>();
     simulation.store.onChange = (change) => {
@@ -97,55 +100,61 @@
         ordersSeen.set(change.put, (change.value as { count: number }).count);
     };
     const job = simulation.submit("req-1", { pieces: 8, vcpus: 2 });
-    const ordered = (): boolean => simulation.store.keys("fernpond/live/orders/").length > 0;
-    assert.ok(await simulation.runUntil(ordered, 60_000), "an order is on record");
+    const hasOrder = (): boolean => simulation.store.keys("fernpond/live/orders/").length > 0;
+    assert.ok(await simulation.runUntil(hasOrder, 60_000), "an order is recorded");
     await cutLink(simulation, simulation.leader()!, "cloud", "inbound", 3 * CUT_MS);
-    assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "it is done");
-    const wanted = [...ordersSeen.values()].reduce((sum, count) => sum + count, 0);
-    assert.equal(simulation.cloud.rentedCount, wanted, "each order on record was carried out once");
+    assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "the job is done");
+    const orderedCount = [...ordersSeen.values()].reduce((sum, count) => sum + count, 0);
+    assert.equal(simulation.cloud.rentedCount, orderedCount, "each recorded order was executed once");
     assertEachTaskRanOnce(simulation, job);
   }));
 
-/** Every controller gives the same final answer, now and a minute later. */
+/** Asserts that every controller reports the same final state of a job, now and a minute later. */
 async function assertAllAnswer(simulation: Simulation, job: UserJob, stage: string): Promise<void> {
   for (let round = 0; round < 2; round++) {
     for (const node of simulation.nodes) {
-      const answered = simulation.queryJob(job, node);
+      const response = simulation.queryJob(job, node);
       await simulation.run(3000);
-      assert.equal((await answered).body.stage, stage, node.name);
+      assert.equal((await response).body.stage, stage, node.name);
     }
     await simulation.run(60_000);
   }
 }
 
-test("a job that has ended on one side of a cut and is cancelled on the other is cancelled everywhere, for good", () =>
+test("a job whose tasks end on one side of a cut and that is cancelled on the other side stays cancelled everywhere", () =>
   withSimulation(4, async (simulation) => {
     const job = simulation.submit("req-1", { pieces: 4 });
     const owner = simulation.ownerOf(0)!;
-    assert.ok(await simulation.runUntil(() => simulation.runningTaskCount(job) === 4, 60_000), "it runs");
+    assert.ok(
+      await simulation.runUntil(() => simulation.runningTaskCount(job) === 4, 60_000),
+      "the tasks run",
+    );
     owner.cut.state = owner.cut.peers = true;
     const other = simulation.nodes.find((node) => node !== owner)!;
-    const cancelled = simulation.cancel(job, other);
-    // Its tasks end and report their results to the owner, who cannot record them.
+    const cancellation = simulation.cancel(job, other);
+    // The tasks end, and their results reach the owner, which cannot record them.
     await simulation.run(25_000);
-    await cancelled;
-    assert.ok(job.cancelledAt !== null, "it is confirmed as cancelled");
+    await cancellation;
+    assert.ok(job.cancelledAt !== null, "the cancellation is confirmed");
     owner.cut.state = owner.cut.peers = false;
     await simulation.run(10_000);
     await assertAllAnswer(simulation, job, "aborted");
   }));
 
-test("a job that has ended on one side of a cut and is taken over on the other is done once, everywhere", () =>
+test("a job whose shard is taken over while its owner is cut off is reported as done everywhere, without repeated starts", () =>
   withSimulation(5, async (simulation) => {
     const job = simulation.submit("req-1", { pieces: 4 });
     const owner = simulation.ownerOf(0)!;
-    assert.ok(await simulation.runUntil(() => simulation.runningTaskCount(job) === 4, 60_000), "it runs");
+    assert.ok(
+      await simulation.runUntil(() => simulation.runningTaskCount(job) === 4, 60_000),
+      "the tasks run",
+    );
     owner.cut.state = true;
     assert.ok(
       await simulation.runUntil(() => simulation.ownerOf(0) !== owner, 30_000),
-      "another takes the shard over",
+      "another controller takes the shard over",
     );
-    assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "and tells that it is done");
+    assert.ok(await simulation.runUntil(() => job.isDone, 120_000), "the new owner reports the job as done");
     owner.cut.state = false;
     await simulation.run(10_000);
     await assertAllAnswer(simulation, job, "done");
--- a/test/half-cut-simulated.test.ts
+++ b/test/half-cut-simulated.test.ts
@@ -1,6 +1,7 @@
 /**
- * Generated schedules of half-cut controllers in simulated time, with the link monitor switched on: no rule breaks, every
- * job gets one final answer, and nothing wanders. `PROPERTY_RUNS` and `PROPERTY_SEED` play more than CI does.
+ * Generated schedules of one-way and two-way link cuts in simulated time, with the link monitor's policy enforced: no
+ * invariant is violated, every job reaches one final state, and shards do not move back and forth. `PROPERTY_RUNS` and
+ * `PROPERTY_SEED` run other cases than CI does.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -12,13 +13,13 @@
 const RUNS = {
   seed: Number(process.env.PROPERTY_SEED ?? 20_261_202),
   numRuns: Number(process.env.PROPERTY_RUNS ?? 10),
-  // A schedule is short enough to be read as it is, and each try takes seconds.
+  // No shrinking: schedules are short enough to be read as they are, and each run takes seconds.
   endOnFailure: true,
 };
 
 const CONTROLLERS = 3;
 const SCHEDULE_MS = 60_000;
-/** Within this of the end of all faults all that was accepted is done. */
+/** All accepted jobs end within this time after the last fault. */
 const MAX_COMPLETION_MS = 600_000;
 const ENFORCED = { teams: TEAMS, operator: { links: { mode: "enforce" } } };
 
@@ -48,37 +49,37 @@
   { weight: 1, arbitrary: fc.record({ kind: fc.constant("outage" as const), at, forMs }, RECORD_OPTIONS) },
 );
 
-/** Plays a schedule beside work, and waits until all of it has ended. */
+/** Runs a schedule while users submit jobs, and waits until all faults and jobs have ended. */
 async function runWithSchedule(
   seed: number,
   schedule: ScheduledFault[],
-): Promise<{ broken: string[]; open: string[] }> {
+): Promise<{ violations: string[]; unfinished: string[] }> {
   const simulation = Simulation.start(CONTROLLERS, seed, ENFORCED);
   simulation.workers.copies = 0.1;
   simulation.delayedTransactionShare = 0.05;
   try {
     await simulation.run(10_000);
-    let over = false;
-    void runSchedule(simulation, schedule).then(() => (over = true));
-    await work(simulation, () => over);
+    let isOver = false;
+    void runSchedule(simulation, schedule).then(() => (isOver = true));
+    await work(simulation, () => isOver);
     simulation.workers.copies = simulation.delayedTransactionShare = 0;
     simulation.faultsEndedAt = simulation.now;
     await simulation.runUntil(() => simulation.unfinishedJobs().length === 0, MAX_COMPLETION_MS);
-    return { broken: simulation.violations, open: simulation.unfinishedJobs() };
+    return { violations: simulation.violations, unfinished: simulation.unfinishedJobs() };
   } finally {
     simulation.close();
   }
 }
 
-test("under generated cuts, restarts, refusals and late copies no rule breaks, and every job gets one final answer", async () => {
+test("under generated cuts, restarts, refusals and duplicate heartbeats no invariant is violated, and every job ends", async () => {
   const schedules = fc.array(fault, { minLength: 1, maxLength: 8 });
   const holds = async (seed: number, schedule: ScheduledFault[]): Promise<void> => {
-    assert.deepEqual(await runWithSchedule(seed, schedule), { broken: [], open: [] });
+    assert.deepEqual(await runWithSchedule(seed, schedule), { violations: [], unfinished: [] });
   };
   await fc.assert(fc.asyncProperty(fc.nat(1000), schedules, holds), RUNS);
 });
 
-/** How often a shard changes hands while the workers of whoever owns it are cut off for every second lease. */
+/** Counts the owner changes of a shard while its owner is cut off from the workers during every other lease. */
 async function countHandOvers(mode: "off" | "enforce"): Promise<number> {
   const simulation = Simulation.start(CONTROLLERS, 1, { teams: TEAMS, operator: { links: { mode } } });
   const { leaseMs } = simulation.settings.workers;
@@ -89,7 +90,8 @@
     let moves = 0;
     let owner = simulation.ownerOf(0);
     for (let i = 0; i < 30; i++) {
-      for (const each of simulation.nodes) each.cut.workers = i % 2 === 0 && each === simulation.ownerOf(0);
+      for (const candidate of simulation.nodes)
+        candidate.cut.workers = i % 2 === 0 && candidate === simulation.ownerOf(0);
       await simulation.run(leaseMs);
       if (simulation.ownerOf(0) !== owner) moves++;
       owner = simulation.ownerOf(0);
@@ -100,9 +102,9 @@
   }
 }
 
-test("a shard whose owners lose their workers at the period of a lease changes hands less often the longer it goes on", async () => {
+test("a shard whose owners repeatedly lose their workers for a lease changes owners less often with the policy enforced", async () => {
   const [off, enforced] = [await countHandOvers("off"), await countHandOvers("enforce")];
-  assert.ok(enforced >= 1, "the first loss moves the shard");
+  assert.ok(enforced >= 1, "the first cut moves the shard");
   assert.ok(enforced < off, `${enforced} moves with the policy, ${off} without`);
 });
 
@@ -118,7 +120,7 @@
           () => simulation.ownerOf(0) !== owner,
           2 * simulation.settings.workers.leaseMs,
         ),
-        `${direction}: another owns the shard`,
+        `${direction}: another controller owns the shard`,
       );
       owner.cut.state = false;
       await simulation.run(10_000);
@@ -128,8 +130,8 @@
   }
 });
 
-// Fails if only workers that follow the present owner's token count: those of a new owner have never met it.
-test("a shard that is given to a controller whom no worker reaches goes on to one whom they reach", async () => {
+// The workers of a new owner have not seen its token yet, so the monitor must not count only workers that follow it.
+test("a shard that is assigned to a controller which no worker reaches moves on to one which they reach", async () => {
   for (const mode of ["off", "enforce"]) {
     const simulation = Simulation.start(CONTROLLERS, 4, { teams: TEAMS, operator: { links: { mode } } });
     try {
@@ -137,20 +139,20 @@
       simulation.submit("req-1", { pieces: 6, guessS: 120 });
       await simulation.run(20_000);
       const owner = simulation.ownerOf(0)!;
-      const [deaf, heard] = simulation.nodes.filter((each) => each !== owner);
-      deaf!.cut.workers = true;
+      const [unreachable, reachable] = simulation.nodes.filter((candidate) => candidate !== owner);
+      unreachable!.cut.workers = true;
       simulation.crash(owner);
       const { leaseMs } = simulation.settings.workers;
       assert.ok(
-        await simulation.runUntil(() => simulation.ownerOf(0) === heard, 4 * leaseMs),
-        `${mode}: it is heard`,
+        await simulation.runUntil(() => simulation.ownerOf(0) === reachable, 4 * leaseMs),
+        `${mode}: the reachable controller owns the shard`,
       );
-      deaf!.cut.workers = false;
+      unreachable!.cut.workers = false;
       simulation.startNode(owner);
       await simulation.runUntil(() => simulation.unfinishedJobs().length === 0, MAX_COMPLETION_MS);
       assert.deepEqual(
-        { broken: simulation.violations, open: simulation.unfinishedJobs() },
-        { broken: [], open: [] },
+        { violations: simulation.violations, unfinished: simulation.unfinishedJobs() },
+        { violations: [], unfinished: [] },
       );
     } finally {
       simulation.close();
@@ -158,12 +160,12 @@
   }
 });
 
-test("the same faults on all three controllers at a time, at the period of the lease, end well", async () => {
+test("simultaneous cuts at all three controllers once per lease violate no invariant, and every job ends", async () => {
   const schedule: ScheduledFault[] = [];
   for (let i = 0; i < 6; i++)
-    for (let each = 0; each < CONTROLLERS; each++) {
-      const link = (["state", "workers", "peers"] as const)[(i + each) % 3]!;
-      schedule.push({ kind: "cut", at: i * 10_000, node: each, link, cut: "inbound", forMs: 5000 });
+    for (let index = 0; index < CONTROLLERS; index++) {
+      const link = (["state", "workers", "peers"] as const)[(i + index) % 3]!;
+      schedule.push({ kind: "cut", at: i * 10_000, node: index, link, cut: "inbound", forMs: 5000 });
     }
-  assert.deepEqual(await runWithSchedule(3, schedule), { broken: [], open: [] });
+  assert.deepEqual(await runWithSchedule(3, schedule), { violations: [], unfinished: [] });
 });
