--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,34 +1,36 @@
-/** Admission control: whether a job can ever run. Pure. */
+/** Admission control: checks whether a submitted job could ever run. Pure. */
 import type { Settings, Team } from "../config/settings.js";
 import type { JobSpec, MachineType } from "../wire/index.js";
 
-/** Why a job is not accepted: its submission is wrong in itself, or no machine could ever run it. */
+/** Why a job is not accepted. `malformed`: the submission is invalid; `impossible`: no machine could ever run it. */
 export interface Rejection {
   kind: "malformed" | "impossible";
-  /** One line for the user. */
+  /** A one-line message for the user. */
   reason: string;
 }
 
-/** Whether a job can run, and if not why. */
+/** The result of the admission check. */
 export type Admission = { kind: "ok" } | Rejection;
 
 const impossible = (reason: string): Rejection => ({ kind: "impossible", reason });
 
-/** Checks a submission against teams, zones and machine types. */
+/** Checks a submission against the configured zones and teams, and the available machine types. */
 export function checkAdmission(
   spec: JobSpec,
   settings: Pick<Settings, "zones" | "teams">,
   types: MachineType[],
 ): Admission {
   if (spec.zone !== null && !settings.zones.includes(spec.zone))
-    return { kind: "malformed", reason: `bank: no such zone as ${spec.zone}` };
+    return { kind: "malformed", reason: `bank: unknown zone ${spec.zone}` };
   const team = settings.teams.find(({ name }) => name === spec.team);
   if (team === undefined) return impossible(`unknown team ${spec.team}`);
-  if (exceedsLimit(spec, team)) return impossible(`one task is over the limit of team ${team.name}`);
+  if (exceedsLimit(spec, team)) return impossible(`one task exceeds the limit of team ${team.name}`);
   const fittingTypes = types.filter((type) => isAllowedType(spec, type) && fitsType(spec, type));
-  if (fittingTypes.length === 0) return impossible("a task fits no allowed machine type");
+  if (fittingTypes.length === 0) return impossible("no allowed machine type fits a task");
   if (spec.spread && spec.tasks > 1 && !canSpread(spec, fittingTypes))
-    return impossible("no zone may hold more than half of its tasks, and one would have to");
+    return impossible(
+      "spread allows at most half of the tasks in one zone, but the job can use only one zone",
+    );
   return { kind: "ok" };
 }
 
@@ -49,7 +51,10 @@
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
 }
 
-/** Guards against a job that waits for ever: half of its tasks, rounded up, would be all that may run. */
+/**
+ * Whether the tasks can be spread over at least two zones. Guards against a job that waits forever: in a single zone
+ * only half of its tasks, rounded up, may run.
+ */
 function canSpread(spec: JobSpec, fittingTypes: MachineType[]): boolean {
   const zones = new Set(fittingTypes.flatMap((type) => (spec.zone === null ? type.zones : [spec.zone])));
   return !spec.oneZone && zones.size >= 2;
--- a/src/jobs/bitmap.ts
+++ b/src/jobs/bitmap.ts
@@ -1,12 +1,12 @@
-/** Sets of task numbers as bitmaps, which the state service holds in chunks that fit its values. */
+/** Sets of task numbers as bitmaps, encoded in chunks that fit the state service's limit on value sizes. */
 
-/** The number of tasks in one chunk. */
+/** The number of task numbers in one chunk. */
 export const CHUNK_TASKS = 16_384;
 
-/** A set of task numbers below a fixed size, one bit for each. */
+/** A set of task numbers below a fixed size, with one bit for each number. */
 export class Bitmap {
   private readonly bytes: Uint8Array;
-  /** How many task numbers are in the set. */
+  /** The number of task numbers in the set. */
   count = 0;
 
   constructor(readonly size: number) {
@@ -18,7 +18,7 @@
     return ((this.bytes[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
   }
 
-  /** Adds a task number; false where it is in the set already or past the size. */
+  /** Adds a task number. Returns false if it is already in the set or not below the size. */
   add(index: number): boolean {
     if (index >= this.size || this.has(index)) return false;
     this.bytes[index >> 3]! |= 1 << (index & 7);
@@ -26,13 +26,13 @@
     return true;
   }
 
-  /** The bits of one chunk, as base64. */
+  /** Encodes one chunk as base64. */
   encodeChunk(chunk: number): string {
     const start = (chunk * CHUNK_TASKS) >> 3;
     return Buffer.from(this.bytes.subarray(start, start + (CHUNK_TASKS >> 3))).toString("base64");
   }
 
-  /** Adds the task numbers of an encoded chunk; bits past the size are ignored. */
+  /** Adds the task numbers of a base64-encoded chunk; numbers not below the size are ignored. */
   mergeChunk(chunk: number, text: string): void {
     const bytes = Buffer.from(text, "base64");
     for (let i = 0; i < bytes.byteLength * 8; i++)
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -1,6 +1,6 @@
 /**
- * The records of jobs: live ones, their completed tasks, and what is kept of those that are over. The stored form is known
- * here alone; the rest of the program goes by the types of this module.
+ * Encodes and decodes the records of live jobs, completed tasks, quota reservations and ended jobs. Only this module
+ * knows the stored form; the rest of the program uses the types defined here.
  */
 import * as z from "zod";
 import { PRIORITIES, type JobSpec } from "../wire/index.js";
@@ -27,7 +27,7 @@
   deadlineS: z.number().nullable(),
 }) satisfies z.ZodType<JobSpec>;
 
-/** A live job as the state service holds it. The last two fields are absent unless the job has migrated. */
+/** The stored form of a live job. The last two fields are absent unless the job has migrated. */
 const jobRecordSchema = z
   .object({
     spec: specSchema,
@@ -47,17 +47,17 @@
 /** A live job. */
 export interface JobRecord {
   spec: JobSpec;
-  /** Chosen when the job is accepted; changes at most once, before its first task starts. */
+  /** Assigned when the job is accepted; changes at most once, before the job's first task starts. */
   shard: number;
-  /** Time of day in milliseconds: it orders jobs and dates deadlines, and nothing safe depends on it. */
+  /** Time of day in milliseconds. Used for the order of jobs and for deadlines; no safety property depends on it. */
   acceptedAt: number;
-  /** How many tasks may run at a time where another shard keeps the limit of the job's team; null for any number. */
+  /** How many tasks may run in parallel if another shard enforces the limit of the job's team; null if unlimited. */
   maxParallelTasks: number | null;
-  /** Whether the job has migrated to a shard of other teams. */
+  /** Whether the job has migrated to a shard that its team is not assigned to. */
   migratedIn: boolean;
 }
 
-/** The stored form of a live job. */
+/** Encodes a live job in its stored form. */
 export function encodeJob({ spec, shard, acceptedAt, maxParallelTasks, migratedIn }: JobRecord): object {
   return {
     spec,
@@ -68,41 +68,41 @@
   };
 }
 
-/** Decodes a live job; null where the value cannot be read. */
+/** Decodes a live job; null if the value is malformed. */
 export function readJob(value: unknown): JobRecord | null {
   return jobRecordSchema.safeParse(value).data ?? null;
 }
 
 const quotaReservationSchema = z.object({ team: z.string(), cpus: z.number(), gpus: z.number() });
 
-/** What a job that has migrated to another shard may use of its team's limit, in all. */
+/** The part of its team's limit that is reserved for a job that has migrated to another shard. */
 export type QuotaReservation = z.infer<typeof quotaReservationSchema>;
 
-/** Decodes a quota reservation; null where the value cannot be read. */
+/** Decodes a quota reservation; null if the value is malformed. */
 export function readQuotaReservation(value: unknown): QuotaReservation | null {
   return quotaReservationSchema.safeParse(value).data ?? null;
 }
 
 const endedSchema = z.object({ stage: z.enum(["done", "cancelled"]), done: z.number() });
 
-/** A job that is over; kept for good. `done` is the number of completed tasks. */
+/** An ended job; its record is kept forever. `done` is the number of completed tasks. */
 export type EndedJobRecord = z.infer<typeof endedSchema>;
 
-/** Decodes a job that is over; null where the value cannot be read. */
+/** Decodes an ended job; null if the value is malformed. */
 export function readEndedJob(value: unknown): EndedJobRecord | null {
   return endedSchema.safeParse(value).data ?? null;
 }
 
 const completedTasksPageSchema = z.object({ jobs: z.record(z.string(), z.string()) });
 
-/** Decodes a page of completed tasks: an encoded bitmap by job; null where the value cannot be read. */
+/** Decodes a page of completed tasks into encoded bitmaps by job id; null if the value is malformed. */
 export function readCompletedTasksPage(value: unknown): Record<string, string> | null {
   return completedTasksPageSchema.safeParse(value).data?.jobs ?? null;
 }
 
 const completedTasksChunkSchema = z.object({ bits: z.string() });
 
-/** Decodes one chunk of the completed tasks of one large job: an encoded bitmap; null where it cannot be read. */
+/** Decodes a chunk of the completed tasks of a large job into an encoded bitmap; null if the value is malformed. */
 export function readCompletedTasksChunk(value: unknown): string | null {
   return completedTasksChunkSchema.safeParse(value).data?.bits ?? null;
 }
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -1,6 +1,6 @@
 /**
- * Users' requests about jobs: submit, look up, cancel. Any controller answers them: the records decide, and no user is
- * told anything before the records say it.
+ * Submits, looks up and cancels jobs for users. Any controller can answer: the records are authoritative, and no result
+ * is returned to a user before it is recorded.
  */
 import { LRUCache } from "lru-cache";
 import type { Settings } from "../config/settings.js";
@@ -24,7 +24,7 @@
 import { countDurablyDone } from "./progress-pages.js";
 import type { ShardAssignment } from "./shard-assignment.js";
 
-/** The state service did not answer in time, or holds a record that this version cannot read. */
+/** The state service did not answer in time, or the job's record is unreadable to this version. */
 interface Unavailable {
   kind: "unavailable";
 }
@@ -32,38 +32,38 @@
 /** The job is recorded. */
 interface Accepted {
   kind: "accepted";
-  /** The job's stage: that of a new job, or that of a job accepted earlier. */
+  /** The job's current stage; may be any stage if the job was accepted earlier. */
   stage: JobStage;
-  /** False where the job was accepted earlier under the same id. */
+  /** False if the job was accepted earlier under the same id. */
   isNew: boolean;
 }
 
-/** How a submission ended. */
+/** The result of a submission. */
 export type SubmitResult = Accepted | Rejection | Unavailable;
 
-/** How a question about a job, or its cancellation, ended; `unknown`: no such job was ever accepted. */
+/** The result of looking up or cancelling a job; `unknown`: no such job was ever accepted. */
 export type JobLookup = { kind: "found"; status: JobStatus } | { kind: "unknown" } | Unavailable;
 
-/** How many tasks of a job are done and running, for display. */
+/** The number of completed and running tasks of a job, for display. */
 export interface TaskProgress {
   done: number;
   running: number;
 }
 
-/** What the job service needs of the rest of the process. */
+/** The dependencies of the job service. */
 export interface JobServiceDependencies {
   readonly settings: Settings;
   readonly state: StateStoreClient;
   readonly replica: ReplicaView;
   readonly readBarrier: ReadBarrier;
-  /** The machine types in the records, by name; empty until they are known. */
+  /** The recorded machine types by name; empty until they are known. */
   readonly machineTypes: () => Map<string, MachineType>;
   readonly shardAssignment: ShardAssignment;
-  /** Asks the shard's owner how far a job is; null where it does not answer. */
+  /** Asks the shard's owner for a job's progress; null if it does not answer. */
   readonly taskCounts: (shard: number, job: string) => Promise<TaskProgress | null>;
-  /** Notifies the owner of a job's shard that the job is cancelled. */
+  /** Notifies the owner of a job's shard that the job has been cancelled. */
   readonly notifyOwnerOfCancellation: (shard: number, job: string) => void;
-  /** How long a submission or cancellation may wait until it is sent to the state service, in milliseconds. */
+  /** How long a submission or cancellation may be queued before it is sent to the state service, in milliseconds. */
   readonly queueTimeoutMs: number;
   readonly log: Logger;
 }
@@ -73,14 +73,14 @@
 
 const UNAVAILABLE: Unavailable = { kind: "unavailable" };
 
-/** Accepts, looks up and cancels jobs, each by the state service and never by memory alone unless final. */
+/** Submits, looks up and cancels jobs in the state service; only final states are answered from memory alone. */
 export class JobService {
-  /** Final states never change, so that they may be answered from memory. */
+  /** A cache of ended jobs. It cannot be stale, since final states never change. */
   private readonly endedJobs = new LRUCache<string, EndedJobRecord>({ max: REMEMBERED_ENDED_JOBS });
 
   constructor(private readonly dependencies: JobServiceDependencies) {}
 
-  /** Remembers the jobs that changed records show to be over, so that few questions about them need a read. */
+  /** Caches the ended jobs in changed records, so that looking them up rarely needs a read. */
   applyChanges(changes: RecordChange[]): void {
     for (const change of changes) {
       if (!change.key.startsWith(prefixes.endedJobs)) continue;
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Records a job if it can ever run. Repeated submissions under one id are accepted once. */
+  /** Records a job if it could ever run. Repeated submissions under one id record it once. */
   async submit(spec: JobSpec): Promise<SubmitResult> {
     const { settings, machineTypes } = this.dependencies;
     const types = [...machineTypes().values()];
@@ -102,22 +102,22 @@
     });
   }
 
-  /** Looks up the state of a job, as new as any answer that any controller has given. */
+  /** Looks up the status of a job; at least as recent as any answer that a controller has given before. */
   async lookUp(id: string): Promise<JobLookup> {
     const ended = this.endedJobs.get(id);
     if (ended !== undefined) return foundEnded(id, ended);
     return this.unavailableOnStateError(async (): Promise<JobLookup> => {
-      // Another controller may have answered with a later state than our replica shows: it becomes current first.
+      // Another controller may have answered from a newer state, so wait until this replica has caught up.
       await this.dependencies.readBarrier.waitUntilCurrent();
       const entry = this.dependencies.replica.get(keys.job(id));
-      // A job goes from live to ended in one transaction, so that looking in this order cannot miss it.
+      // One transaction moves a job from live to ended, so looking for the live record first cannot miss the job.
       if (entry === undefined) return this.lookUpEnded(id);
       const job = readJob(entry.value);
       return job === null ? UNAVAILABLE : this.lookUpLive(job);
     });
   }
 
-  /** Cancels a job; found with its final state, which may be another than cancelled. */
+  /** Cancels a job. The result has its final state, which differs from cancelled if the job had ended before. */
   async cancel(id: string): Promise<JobLookup> {
     return this.unavailableOnStateError(async (): Promise<JobLookup> => {
       for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt++) {
@@ -130,7 +130,7 @@
     });
   }
 
-  /** Whether the job was written; if not, a record with its id exists already. */
+  /** Writes the record of a new job. Returns false if a job with its id has been recorded before. */
   private async commitSubmission(spec: JobSpec): Promise<boolean> {
     const { state, shardAssignment, queueTimeoutMs } = this.dependencies;
     const record: JobRecord = {
@@ -149,7 +149,10 @@
     return result.ok;
   }
 
-  /** A job that was accepted once stays accepted, whatever the types or a repeat say by now; any other gets `otherwise`. */
+  /**
+   * Returns the earlier acceptance of a job, or `otherwise` if there is none. An accepted job stays accepted, even if
+   * machine types have changed or a repeated submission differs.
+   */
   private async acceptedEarlierOr(id: string, otherwise: Rejection | Unavailable): Promise<SubmitResult> {
     const known = await this.lookUp(id);
     if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, isNew: false };
@@ -178,7 +181,7 @@
     return foundEnded(id, ended);
   }
 
-  /** Replaces the live record by an ended one; null where another transaction has changed the live record. */
+  /** Replaces the live record by an ended one; null if another transaction has changed the live record. */
   private async tryCancel(
     id: string,
     entry: Pick<RecordEntry, "value" | "version">,
@@ -187,7 +190,7 @@
     const job = readJob(entry.value);
     const done = job === null ? 0 : countDurablyDone(replica, job.shard, id, job.spec.tasks);
     const ended: EndedJobRecord = { stage: "cancelled", done };
-    // The first transaction to change the job's record wins: a completion in flight then fails, or this does.
+    // The first transaction to change the job's record wins: a concurrent completion fails, or this cancellation does.
     const unchangedConditions = [{ key: keys.job(id), version: entry.version }];
     const writes: Write[] = [{ put: keys.endedJob(id), value: ended }, { remove: keys.job(id) }];
     const result = await state.compareAndSwap(unchangedConditions, writes, "user", queueTimeoutMs);
@@ -205,7 +208,10 @@
       return await operation();
     } catch (err) {
       if (!(err instanceof StateStoreError)) throw err;
-      this.dependencies.log.debug({ err }, "user request not answered by state service");
+      this.dependencies.log.debug(
+        { err },
+        "state service failed to answer; user request is reported as unavailable",
+      );
       return UNAVAILABLE;
     }
   }
--- a/src/jobs/progress-pages.ts
+++ b/src/jobs/progress-pages.ts
@@ -1,30 +1,30 @@
 /**
- * The records that hold a shard's completed tasks: many jobs in one record, called a page, since the state service takes
- * few writes a second. Only jobs of very many tasks have records of their own.
+ * The records of a shard's completed tasks. Many jobs share one record, called a page, because the state service allows
+ * few writes per second. Only jobs with very many tasks have records of their own.
  */
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import { Bitmap } from "./bitmap.js";
 import { readCompletedTasksChunk, readCompletedTasksPage } from "./job-records.js";
 
-/** A job that would fill more than this part of a record has records of its own. */
+/** A job that needs more than this fraction of a record's size has records of its own. */
 const MAX_SHARED_FRACTION = 1 / 8;
-/** A record is filled up to this part: keys and punctuation around the bits take bytes as well. */
+/** The fraction of a record's size that is filled; keys and punctuation around the bitmaps take space as well. */
 const PAGE_FILL_FRACTION = 3 / 4;
-/** Base64 takes four characters for three bytes. */
+/** Base64 encodes three bytes in four characters. */
 const BASE64_EXPANSION = 4 / 3;
-/** The punctuation around one job in a page, in bytes. */
+/** The bytes of punctuation for one job in a page. */
 const ENTRY_OVERHEAD_BYTES = 8;
 
-/** Which completed tasks of which jobs of a shard are in which page. */
+/** The pages of one shard, with the completed tasks of the jobs in each. */
 export class ProgressPages {
-  /** The encoded bitmap of each job, by page. */
+  /** For each page, the encoded bitmaps by job id. */
   private readonly pages: Map<string, string>[] = [];
   private readonly pageByJob = new Map<string, number>();
 
   constructor(private readonly valueBytes: number) {}
 
-  /** Whether a job of so many tasks shares a page with others. */
+  /** Whether a job with this number of tasks is small enough to share a page with others. */
   canSharePage(tasks: number): boolean {
     return (tasks / 8) * BASE64_EXPANSION <= this.valueBytes * MAX_SHARED_FRACTION;
   }
@@ -34,14 +34,14 @@
     for (const [id, bits] of Object.entries(jobs)) this.put(page, id, bits);
   }
 
-  /** Sets the encoded bitmap of a job's completed tasks, and returns the page that is to be written. */
+  /** Sets the encoded bitmap of a job's completed tasks, and returns the number of the page to write. */
   set(id: string, bits: string): number {
     const page = this.pageByJob.get(id) ?? this.findPageWithSpace(id.length + bits.length);
     this.put(page, id, bits);
     return page;
   }
 
-  /** Removes a job that is over from its page, which is written without it the next time. */
+  /** Removes an ended job from its page; the record keeps it until the page is next written. */
   remove(id: string): void {
     const page = this.pageByJob.get(id);
     if (page === undefined) return;
@@ -49,7 +49,7 @@
     this.pageByJob.delete(id);
   }
 
-  /** The record of a page. */
+  /** The value to store in the record of a page. */
   recordValue(page: number): { jobs: Record<string, string> } {
     return { jobs: Object.fromEntries(this.pages[page] ?? []) };
   }
@@ -73,7 +73,7 @@
   }
 }
 
-/** How many of a job's tasks the records show completed. */
+/** Counts the tasks of a job that are completed according to the records. */
 export function countDurablyDone(view: ReplicaView, shard: number, id: string, tasks: number): number {
   const done = new Bitmap(tasks);
   for (const entry of view.list(`${prefixes.completedTasks}${shard}/`)) {
--- a/src/jobs/shard-assignment.ts
+++ b/src/jobs/shard-assignment.ts
@@ -1,20 +1,20 @@
-/** Chooses the shard of a new job. Pure but for the loads that it remembers. */
+/** Assigns new jobs to shards. Depends only on its arguments and the recorded loads. */
 import { createHash } from "node:crypto";
 import type { Team } from "../config/settings.js";
 import type { JobSpec } from "../wire/index.js";
 
-/** The load of a shard, in processors. */
+/** The capacity and backlog of a shard, in processors. */
 export interface CpuLoad {
-  /** All processors of its machines. */
+  /** The processors of all its machines. */
   capacity: number;
-  /** What waiting tasks need beyond what is free; negative where capacity is left. */
+  /** The processors that waiting tasks need beyond the free ones; negative if free processors are left over. */
   backlog: number;
 }
 
 /**
- * Teams are divided among the shards, so that one owner sees all usage that counts against a limit. A single team is
- * divided by job: by the shards' loads where they are known, by hash among equals. With a limit to keep it stays in one
- * shard, since no two owners could keep one limit.
+ * Assigns each team to one shard, so that a single owner sees all usage that counts against the team's limit. If there
+ * is only one team and it has no limit, its jobs are distributed instead: to the least loaded shard, and by hash among
+ * equally loaded ones. A single team with a limit stays in one shard, since several owners could not enforce one limit.
  */
 export class ShardAssignment {
   private readonly loads = new Map<number, CpuLoad>();
@@ -24,23 +24,23 @@
     private readonly shards: number,
   ) {}
 
-  /** Whether new jobs are assigned by the shards' loads, so that all controllers need to know them. */
+  /** Whether new jobs are assigned by the shards' loads, so that every controller needs to know the loads. */
   get balancesByLoad(): boolean {
     const [onlyTeam, ...others] = this.teams;
     return onlyTeam !== undefined && others.length === 0 && onlyTeam.cpusMax === 0 && onlyTeam.gpusMax === 0;
   }
 
-  /** Records the load of a shard as its owner last sent it. */
+  /** Records the load of a shard as last sent by its owner. */
   recordLoad(shard: number, load: CpuLoad): void {
     this.loads.set(shard, { ...load });
   }
 
-  /** The shard for a new job. Where jobs are assigned by load, the job counts against the shard from now on. */
+  /** Chooses the shard of a new job. If jobs are assigned by load, the job adds to the shard's load from then on. */
   shardFor(spec: Pick<JobSpec, "id" | "team" | "cpus" | "tasks">): number {
     if (this.teams.length > 1) return this.shardOfTeam(spec.team);
     if (!this.balancesByLoad) return 0;
     const shard = this.leastLoadedShard(this.shardByHash(spec.id));
-    // Until the owner has sent its load again, the job counts where it was assigned.
+    // Counts the job until the owner's next load replaces this estimate.
     const load = this.loads.get(shard);
     if (load) load.backlog += spec.cpus * spec.tasks;
     return shard;
@@ -56,17 +56,17 @@
   }
 
   /**
-   * The shard under the least pressure; the given one among equals. Guards against half of the fleet standing idle while a
-   * queue waits: a machine with one task cannot move.
+   * The shard with the least backlog relative to its capacity; `preferred` if no other has less. Guards against half of
+   * the fleet being idle while jobs wait: a machine cannot be transferred to another shard while it runs a task.
    */
   private leastLoadedShard(preferred: number): number {
     let best = preferred;
     for (let shard = 0; shard < this.shards; shard++)
-      if (this.pressure(shard) < this.pressure(best)) best = shard;
+      if (this.relativeBacklog(shard) < this.relativeBacklog(best)) best = shard;
     return best;
   }
 
-  private pressure(shard: number): number {
+  private relativeBacklog(shard: number): number {
     const load = this.loads.get(shard);
     return load === undefined ? 0 : load.backlog / Math.max(load.capacity, 1);
   }
--- a/src/workers/fleet.ts
+++ b/src/workers/fleet.ts
@@ -1,4 +1,4 @@
-/** All rented machines by host, as read from the records of their groups; and the writes that change these records. */
+/** The rented machines by host, as read from the machine group records, and the writes that change these records. */
 import type { Logger } from "../runtime/log.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
@@ -11,23 +11,23 @@
   type MachineStage,
 } from "./machine-records.js";
 
-/** A group as its record has it. */
+/** A machine group as last read from its record. */
 interface KnownGroup {
   /** The version of the record. */
   version: number;
   group: MachineGroup;
 }
 
-/** Writes that change machine records, and which machines they are about. */
+/** A conditional change of machine group records, and the machines that it affects. */
 export interface FleetChange {
-  /** That the records are still as they were when the writes were made. */
+  /** Conditions that the records are unchanged since the writes were computed. */
   conditions: Condition[];
   writes: Write[];
   /** The machines that the writes change. */
   hosts: string[];
 }
 
-/** All rented machines, as the records have them. */
+/** All rented machines, as recorded in the state store. */
 export class Fleet {
   private readonly groups = new Map<string, KnownGroup>();
   private readonly machines = new Map<string, MachineRecord>();
@@ -44,12 +44,12 @@
     return this.machines.entries();
   }
 
-  /** How many machines there are. */
+  /** The number of machines. */
   get size(): number {
     return this.machines.size;
   }
 
-  /** Applies changed records; where `changes` is null, everything may have changed and is read again. */
+  /** Applies changed records. `changes` is null if any record may have changed: all of them are then read again. */
   applyChanges(view: ReplicaView, changes: RecordChange[] | null): void {
     if (changes === null) {
       for (const key of this.groups.keys()) if (view.get(key) === undefined) this.dropGroup(key);
@@ -64,9 +64,12 @@
       return;
     }
     const group = readMachineGroup(change.value);
-    // A record that cannot be read proves nothing: its machines stay as they were known.
+    // An unreadable record proves nothing about its machines, so their last known state is kept.
     if (group === null) {
-      this.log.error({ key: change.key }, "machine record unreadable");
+      this.log.error(
+        { key: change.key },
+        "cannot parse machine group record; keeping its last known machines",
+      );
       return;
     }
     this.dropGroup(change.key);
@@ -84,8 +87,8 @@
   }
 
   /**
-   * The writes that bring machines to another stage, or remove them from their records (null): one a group, each on
-   * the condition that the group is unchanged. Groups past `maxWrites` are left out.
+   * Builds the writes that change the stage of machines, or that remove them from their records if `stage` is null:
+   * one write for each group, conditional on the group being unchanged. Groups beyond `maxWrites` writes are left out.
    */
   changeStage(hosts: string[], stage: MachineStage | null, maxWrites: number): FleetChange {
     const change: FleetChange = { conditions: [], writes: [], hosts: [] };
@@ -104,10 +107,10 @@
   }
 
   /**
-   * The writes that transfer machines to another shard: out of their groups, into new ones. Groups past `maxWrites`
-   * are left out.
+   * Builds the writes that transfer machines to another shard, by moving them from their groups to new ones. Groups
+   * beyond `maxWrites` writes are left out.
    *
-   * @param newGroupName gives a name that was never used before
+   * @param newGroupName returns a group name that has never been used before
    */
   transferToShard(
     hosts: string[],
--- a/src/workers/heartbeat-reconciliation.ts
+++ b/src/workers/heartbeat-reconciliation.ts
@@ -1,6 +1,6 @@
 /**
- * What a worker's heartbeat proves, and the commands for the response. Commands that start a task are made only as part
- * of a response: the worker drops a response that comes late, so that nothing starts late.
+ * Reconciles the owner's state of a machine with a heartbeat from its worker, and computes the commands for the
+ * response. Start commands are sent only in responses: the worker drops a late response, so no task starts late.
  */
 import { HEARTBEAT_TIMEOUT_S, type Heartbeat, type WorkerCommand } from "../wire/index.js";
 import { isLive } from "./job.js";
@@ -10,25 +10,25 @@
 import { reconcileTask, type TaskReconciliationContext } from "./task-reconciliation.js";
 import { commandFor, limitCommands } from "./worker-commands.js";
 
-/** After so many responses whose start left no trace in the next heartbeat, responses do not reach the machine. */
+/** After this many consecutive heartbeats that do not reflect the start command before them, responses count as lost. */
 const MAX_LOST_STARTS = 3;
 
-/** What reconciliation needs to know of the shard, and whom it notifies. */
+/** The shard state that reconciliation reads, and the callbacks that it calls. */
 export interface ReconciliationContext extends TaskReconciliationContext {
-  /** When this owner's term began; steady time in milliseconds. */
+  /** When this owner's term began, in steady time in milliseconds. */
   readonly termStartedAt: number;
-  /** The longest that a worker's lease may last after a heartbeat, with all that may delay its end. */
+  /** The longest time that a worker's lease may last after a heartbeat, including everything that may delay its end. */
   readonly leaseMs: number;
-  /** Whether a token is one of this owner's term: a worker whose highest token it is follows this owner alone. */
+  /** Whether a token belongs to this owner's term: a worker whose highest token it is follows only this owner. */
   isTokenOfTerm(token: number): boolean;
 }
 
-/** Whether a heartbeat is newer than all that were reconciled for this machine. */
+/** Whether a heartbeat is newer than every heartbeat reconciled so far for this machine. */
 export function isNewerHeartbeat(machine: Machine, { epoch, sequence }: Heartbeat): boolean {
   return epoch > machine.epoch || (epoch === machine.epoch && sequence > machine.sequence);
 }
 
-/** Reconciles a heartbeat that is newer than the last one, and returns the commands for the response. */
+/** Reconciles a heartbeat that must be newer than the last one, and returns the commands for the response. */
 export function reconcileHeartbeat(
   machine: Machine,
   heartbeat: Heartbeat,
@@ -58,20 +58,21 @@
     if (command !== null) commands.push(command);
   }
   updateEmptyState(machine, now);
-  // The response is limited once more when starts have been added; the caller counts the stops of this result as sent.
+  // The caller counts the stops returned here as sent, then adds starts and limits the response again.
   return limitCommands(commands);
 }
 
 /**
- * Guards against a late heartbeat, or a copy of one, from an earlier owner's time or another shard's: what it shows may
- * have changed since by that owner's commands, so that it proves nothing. The response carries this owner's token, and
- * the heartbeat that shows this token is current.
+ * Handles a heartbeat whose highest token belongs to another term. It may be a late heartbeat, or a duplicate, sent to
+ * an earlier owner or another shard's owner. That owner's commands may have changed the tasks since, so the heartbeat
+ * proves nothing about them. The response carries this owner's token; a heartbeat that shows the token is current.
  *
- * It also guards against a machine whose heartbeats arrive and which no response reaches. A newer heartbeat without a
- * token of this term proves that no response of this term before it was received. So what ran there when the term began
- * outlives a lease only if the response to this very heartbeat is received, and only if it was sent within that lease;
- * the worker drops a response that takes longer than its time-out. Heartbeats after both say nothing of the lease any
- * more: the lease expires then, however many heartbeats come, and holds up neither the shard nor a job.
+ * Also guards against a machine whose heartbeats arrive while responses to it are lost. A newer heartbeat without a
+ * token of this term proves that the worker received no earlier response of this term. The tasks that ran there when
+ * the term began therefore outlive one lease only if the worker receives the response to this heartbeat, and only if
+ * the heartbeat was sent within that lease; the worker drops a response that exceeds its time-out. Heartbeats after a
+ * lease plus the time-out no longer extend the lease: it expires however many arrive, and delays neither the shard nor
+ * a job.
  */
 function reconcileOtherTerm(
   machine: Machine,
@@ -84,9 +85,10 @@
 }
 
 /**
- * Guards against `ran_cancelled`: the response renews the worker's lease, so that owners which follow each other within
- * a lease would keep a cancelled task running for as long as each ends before the worker's second heartbeat. A stop
- * needs no proof: whatever has happened to the task since the heartbeat was sent, it must not go on.
+ * Builds stop commands for tasks of jobs that have ended. Guards against `ran_cancelled`: the response renews the
+ * worker's lease, so a series of owners, each ending before the worker's second heartbeat and following the last within
+ * a lease, would keep a cancelled task running. A stop needs no current heartbeat: the task must not continue, whatever
+ * has happened to it since.
  */
 function stopCommandsForEndedJobs(heartbeat: Heartbeat, { jobs }: ReconciliationContext): WorkerCommand[] {
   return heartbeat.tasks
@@ -95,8 +97,9 @@
 }
 
 /**
- * A newer heartbeat without a task proves it gone. That holds for starts as well: the worker either carried out the
- * response to its last heartbeat before it sent this one, or has dropped that response for good.
+ * Releases placements that a newer heartbeat does not report: their tasks are proven not to be on the machine. This
+ * includes tasks to be started, as the worker has either executed the response to its last heartbeat before it sent
+ * this one, or dropped that response for good.
  */
 function releaseUnreported(machine: Machine, reported: Set<Placement>, now: number): void {
   for (const placement of [...machine.placements]) {
@@ -109,8 +112,8 @@
       !placement.stop &&
       !placement.job.isTerminating &&
       machine.isSchedulable;
-    // Guards against a task that waits for ever on a machine that no response reaches: this heartbeat proves that none
-    // of the starts so far was received, and this response brings no other.
+    // Guards against a task assigned forever to a machine that receives no response: this heartbeat proves that no
+    // start command so far was received, and the response to it includes no further one.
     if (canStartAgain && placement.missedHeartbeats++ < MAX_LOST_STARTS) continue;
     if (canStartAgain) machine.responsesLostSince ??= now;
     release(placement);
--- a/src/workers/job.ts
+++ b/src/workers/job.ts
@@ -1,108 +1,108 @@
-/** A job as the owner of its shard knows it: which of its tasks are done, placed and waiting. */
+/** The state of a job in memory at its shard's owner: which of its tasks are completed, placed and waiting. */
 import { Bitmap } from "../jobs/bitmap.js";
 import type { JobRecord } from "../jobs/job-records.js";
 import type { JobSpec } from "../wire/index.js";
 import type { Placement } from "./placement.js";
 
-/** Whether a job's tasks may go on, as far as its record is known. */
+/** Whether a job is live according to the records known here, so that its tasks may start and continue. */
 export const isLive = (job: Job | undefined): job is Job => job !== undefined && !job.isTerminating;
 
-/** A live job, or an ended one of which tasks are still on machines. */
+/** A live job, or an ended job with tasks still on machines. */
 export class Job {
-  // Tasks: changed by this class alone, but for `interruptedTasks`.
+  // Tasks: changed only by this class, except for `interruptedTasks`.
 
-  /** The tasks that are completed, by number. */
+  /** The completed tasks, by task number. */
   readonly done: Bitmap;
-  /** Those of them that the state store holds; the rest has yet to be written. */
+  /** The completed tasks that are recorded in the state store; the others are yet to be written. */
   readonly durablyDone: Bitmap;
-  /** Attempts that are not proven gone, by the number of the task. */
+  /** Attempts that may still be on a machine, by task number. */
   readonly activeAttempts = new Map<number, Placement>();
-  /** Tasks whose last attempt was stopped or lost; written when an attempt is released. */
+  /** Tasks of which an earlier attempt was stopped or lost, by task number; added to when an attempt is released. */
   readonly interruptedTasks = new Set<number>();
-  /** How many of the active tasks are not done by another attempt; kept, so that no heartbeat counts them. */
+  /** The number of active attempts whose task is not completed; maintained so that no heartbeat has to count them. */
   private activeUndoneCount = 0;
-  /** Every task below this number is done. */
+  /** Every task below this number is completed. */
   private firstUndoneHint = 0;
 
   // Life cycle: written by the shard.
 
-  /** Cancelled or over: its tasks are stopped, and the job is dropped when none is left. */
+  /** Whether the job has ended: its tasks are stopped, and the job is removed once none is left on a machine. */
   isTerminating = false;
-  /** Being moved to another shard: nothing of it starts meanwhile. */
+  /** Whether the job is being moved to another shard: none of its tasks starts meanwhile. */
   isMigrating = false;
-  /** Steady time in milliseconds before which nothing of this job starts; also written by the failure tracker. */
+  /** Steady time in milliseconds before which no task of this job starts; also written by the failure tracker. */
   notBefore = -Infinity;
 
   // Failures: written by the shard's failure tracker.
 
-  /** Machines on which a task of this job failed, by host, and when, in steady time in milliseconds. */
+  /** When a task of this job last failed on a machine, in steady time in milliseconds, by host. */
   readonly lastFailedAtByHost = new Map<string, number>();
-  /** Set once it has failed on several machines, until a task ends well: it is tried with one task at a time. */
+  /** Set once it has failed on several machines, until a task succeeds: only one of its tasks runs at a time. */
   isSuspectedFaulty = false;
-  /** How often it was found to fail wherever it runs. */
+  /** The number of back-offs so far; each follows failures on several machines. */
   backOffCount = 0;
 
-  /** How many tasks have run from start to end under this owner, and for how long in all; by the speed tracker. */
+  /** The tasks that ran from start to end under this owner, and their total run time; written by the speed tracker. */
   readonly completedRuns = { count: 0, totalMs: 0 };
 
   constructor(
     readonly spec: JobSpec,
     /** Time of day in milliseconds. */
     readonly acceptedAt: number,
-    /** The version of the job's record: tells jobs of this owner's term from older ones. */
+    /** The version of the job's record; distinguishes jobs accepted in this owner's term from older ones. */
     readonly version: number,
-    /** How many of its tasks may run at a time, where another shard keeps its team's quota; Infinity elsewhere. */
+    /** How many of its tasks may run in parallel if another shard enforces its team's quota; Infinity otherwise. */
     readonly maxParallelTasks = Infinity,
-    /** Whether it has migrated here from the shard that its team belongs to. */
+    /** Whether the job has migrated here from its team's shard. */
     readonly migratedIn = false,
   ) {
     this.done = new Bitmap(spec.tasks);
     this.durablyDone = new Bitmap(spec.tasks);
   }
 
-  /** The job of a record, with no task done or placed yet; `version` is that of the record. */
+  /** Creates a job from its record, without completed or placed tasks; `version` is the record's version. */
   static fromRecord(record: JobRecord, version: number): Job {
     const { spec, acceptedAt, maxParallelTasks, migratedIn } = record;
     return new Job(spec, acceptedAt, version, maxParallelTasks ?? Infinity, migratedIn);
   }
 
-  /** How many tasks are neither done nor placed. */
+  /** The number of tasks that are neither completed nor placed; 0 for a job that has ended. */
   get waitingCount(): number {
     return this.isTerminating ? 0 : this.spec.tasks - this.done.count - this.activeUndoneCount;
   }
 
-  /** How many of its tasks may start now, as far as the job itself is concerned. */
+  /** The number of tasks that the job's own limits allow to start now. */
   get startableTasks(): number {
     return Math.min(this.waitingCount, this.maxParallelTasks - this.activeAttempts.size);
   }
 
-  /** Whether any of its tasks has ever been placed, as far as is known. */
+  /** Whether any of its tasks is known to have ever been placed. */
   get hasStarted(): boolean {
     return this.done.count > 0 || this.activeAttempts.size > 0 || this.interruptedTasks.size > 0;
   }
 
-  /** Records an attempt; it replaces an earlier one of the same task. */
+  /** Adds an attempt; it replaces an earlier attempt of the same task. */
   attach(placement: Placement): void {
     const former = this.activeAttempts.get(placement.index);
     if (former === undefined && !this.done.has(placement.index)) this.activeUndoneCount++;
     this.activeAttempts.set(placement.index, placement);
   }
 
-  /** Removes an attempt, unless another one has replaced it. */
+  /** Removes an attempt, unless another attempt has replaced it. */
   detach(placement: Placement): void {
     if (this.activeAttempts.get(placement.index) !== placement) return;
     this.activeAttempts.delete(placement.index);
     if (!this.done.has(placement.index)) this.activeUndoneCount--;
   }
 
-  /** Records that a task is completed. Returns false if that was known. */
+  /** Marks a task as completed. Returns false if it was already, or if the job has no such task. */
   markDone(index: number): boolean {
     if (!this.done.add(index)) return false;
     if (this.activeAttempts.has(index)) this.activeUndoneCount--;
     return true;
   }
 
-  /** Merges a chunk of the completed tasks, as the records hold it. */
+  /** Merges an encoded chunk of completed tasks, as read from the records. */
   mergeDone(chunk: number, bits: string): void {
     this.done.mergeChunk(chunk, bits);
     this.durablyDone.mergeChunk(chunk, bits);
@@ -110,7 +110,7 @@
     for (const index of this.activeAttempts.keys()) if (!this.done.has(index)) this.activeUndoneCount++;
   }
 
-  /** The lowest waiting task; null if none waits. Done tasks stay done, so the scan need not go back behind them. */
+  /** The lowest waiting task number; null if none waits. Completed tasks stay completed, so the scan skips them. */
   nextWaitingTask(): number | null {
     while (this.firstUndoneHint < this.spec.tasks && this.done.has(this.firstUndoneHint))
       this.firstUndoneHint++;
@@ -119,7 +119,7 @@
     return null;
   }
 
-  /** How many tasks run or save their progress. */
+  /** The number of tasks that run or save their progress. */
   get runningCount(): number {
     let count = 0;
     for (const { state } of this.activeAttempts.values())
--- a/src/workers/lease-renewal.ts
+++ b/src/workers/lease-renewal.ts
@@ -1,57 +1,58 @@
 /**
- * The one decision on whether a worker's heartbeat may be answered with a token. Such a response renews the worker's lease
- * and with it every task on the machine, so that it must not be sent without authority over the shard, on a view of the
- * records that may lack a confirmed cancellation, or without the stop of a task whose cancellation is known. Pure.
+ * Decides whether a worker's heartbeat may be answered with a token; no other module does. Such a response renews the
+ * worker's lease, and so extends every task on the machine. It must not be sent without authority over the shard, based
+ * on a view of the records that may lack a confirmed cancellation, or without a stop for each task that is known to be
+ * cancelled. Pure.
  */
 import type { ShardAuthority, AuthorityRefusal } from "../membership/shard-authority.js";
 import type { WorkerCommand, TaskStatus, Heartbeat } from "../wire/index.js";
 
 /**
- * Why a heartbeat is not answered with a token. Operators are shown these reasons. The last three would break a rule, and
- * mean a fault in this program.
+ * Why a heartbeat is not answered with a token. Operators see these reasons. The last three are invariant violations:
+ * they show a fault in this program.
  */
 export type RenewalRefusal =
   | AuthorityRefusal
-  /** The worker has followed an owner with a higher token. */
+  /** The worker has seen a higher token than this owner's. */
   | "newer_token"
-  /** The heartbeat is no newer than one that was answered, or its machine is not the shard's. */
+  /** The heartbeat is not newer than one already reconciled, or its machine does not belong to the shard. */
   | "report_not_newer"
-  /** The shard's own view of the records is older than it may be, although the process's view is not. */
+  /** The shard's own view of the records is too old, although the process's view is recent enough. */
   | "shard_behind_view"
-  /** A task of a job that the records no longer have would go on. */
+  /** The response would let a task of an ended job continue. */
   | "ended_task_kept"
-  /** A task of a job that the records no longer have would start. */
+  /** The response would start a task of an ended job. */
   | "ended_task_started";
 
-/** The refusals that show a fault of this program rather than of its surroundings. */
+/** The refusals that show a fault in this program rather than in its environment. */
 export const INVARIANT_VIOLATIONS: ReadonlySet<RenewalRefusal> = new Set([
   "shard_behind_view",
   "ended_task_kept",
   "ended_task_started",
 ]);
 
-/** Whether a heartbeat may be answered with a token, and the age of the view on which that was decided. */
+/** Whether a heartbeat may be answered with a token, and the age of the view on which the decision is based. */
 export type RenewalPermission =
   | { allowed: true; token: number; shardViewAgeMs: number }
   | { allowed: false; reason: RenewalRefusal; shardViewAgeMs: number };
 
-/** What a permission is decided on. */
+/** The input to the decision on a permission. */
 export interface RenewalEvidence {
   authority: ShardAuthority;
   /** The highest token that the worker has seen. */
   workerToken: number;
-  /** For how long the shard's own view of the records, on which its commands are decided, may have been incomplete. */
+  /** How long the shard's own view of the records, on which its commands are based, may have been incomplete. */
   shardViewAgeMs: number;
-  /** From this age on a view is too old to renew a lease. */
+  /** A view of this age or older must not renew a lease. */
   maxViewAgeMs: number;
 }
 
-/** Decides whether a heartbeat may be answered at all, before it is reconciled. */
+/** Decides, before a heartbeat is reconciled, whether it may be answered with a token. */
 export function decideRenewalPermission(evidence: RenewalEvidence): RenewalPermission {
   const { authority, workerToken, shardViewAgeMs, maxViewAgeMs } = evidence;
   if (!authority.held) return { allowed: false, reason: authority.reason, shardViewAgeMs };
   if (workerToken > authority.token) return { allowed: false, reason: "newer_token", shardViewAgeMs };
-  // Guards against checking one view's age and deciding on another: a shard that missed a change must not go on.
+  // Guards against checking the age of one view and deciding based on another: a shard that missed a change must stop.
   if (shardViewAgeMs >= maxViewAgeMs) return { allowed: false, reason: "shard_behind_view", shardViewAgeMs };
   return { allowed: true, token: authority.token, shardViewAgeMs };
 }
@@ -63,7 +64,7 @@
   task: string;
 }
 
-/** A response that may be sent. Only `decide` makes one, so that no path can renew a lease without the decision. */
+/** A response that may be sent. Only `decide` creates one, so no code path can renew a lease without the decision. */
 export class LeaseRenewal {
   private constructor(
     readonly token: number,
@@ -71,9 +72,9 @@
   ) {}
 
   /**
-   * Checks a response against what its owner knows: see `docs/design.md`, "Cancellation".
+   * Checks that a response neither continues nor starts a task of an ended job: see `docs/design.md`, "Cancellation".
    *
-   * @param isLive whether the records, as the owner knows them, still have a job
+   * @param isLive whether a job is live according to the records that the owner knows
    */
   static decide(
     token: number,
@@ -91,7 +92,7 @@
   }
 }
 
-/** Whether the commands stop a task without a grace period, in which it would run on. */
+/** Whether the commands stop a task at once: during a grace period it would keep running. */
 function stopsAtOnce(commands: readonly WorkerCommand[], { job, index, attempt }: TaskStatus): boolean {
   return commands.some(
     (command) =>
--- a/src/workers/lost-responses.ts
+++ b/src/workers/lost-responses.ts
@@ -1,12 +1,13 @@
-/** Finds machines whose heartbeats arrive and which no response reaches. */
+/** Detects machines whose heartbeats arrive while the responses to them are lost. */
 import type { Machine } from "./machine.js";
 
-/** After how many responses in a row an epoch must have ended to prove that none of them arrived. */
+/** If an epoch ends less than a lease after the oldest of this many consecutive responses, none was received. */
 const RESPONSE_HISTORY_LENGTH = 3;
 
 /**
- * Records the epoch of a heartbeat. An epoch ends when the worker has received no response for a lease. Where responses
- * were sent all the while, they do not arrive; the machine gets nothing new until an epoch has outlived a lease.
+ * Records the epoch of a heartbeat. A worker begins a new epoch when its lease has expired, that is after a lease
+ * without a response. If responses were sent during that time, they were lost: nothing new is placed on the machine
+ * until an epoch has lasted longer than a lease.
  *
  * @param now steady time in milliseconds
  */
@@ -34,7 +35,7 @@
   );
 }
 
-/** Records that a response is sent now, in steady time in milliseconds. */
+/** Records that a response is sent at `now`, in steady time in milliseconds. */
 export function recordResponse(machine: Machine, now: number): void {
   machine.responseTimes.push(now);
   if (machine.responseTimes.length > RESPONSE_HISTORY_LENGTH) machine.responseTimes.shift();
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -1,12 +1,12 @@
 /**
- * The records of rented machines. Machines that were rented together are kept in one record: a fleet of hundreds changes
- * within the few writes a second that the state store takes.
+ * The records of rented machines. Machines that were rented together share one record, so that a fleet of hundreds of
+ * machines can change within the few writes per second that the state store allows.
  */
 import * as z from "zod";
 
-/** `booting`: has sent no heartbeat yet, and nothing is placed on it. `leaving`: selected for removal. */
+/** `booting`: no heartbeat yet, so no task is placed on the machine. `leaving`: selected for removal. */
 const stage = z.enum(["booting", "up", "leaving"]);
-/** How far a machine is in its life. */
+/** The stage of a machine's life cycle. */
 export type MachineStage = z.infer<typeof stage>;
 
 const groupSchema = z.object({
@@ -14,29 +14,29 @@
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
-  /** Time of day in milliseconds of the rental order, or of when the machines were first seen. */
+  /** When the machines were ordered, or first seen: time of day in milliseconds. */
   since: z.number(),
   machines: z.record(z.string(), stage),
 });
 
-/** Machines that were rented together: the value of one record as it is stored, so that it is written as it is. */
+/** Machines that were rented together. This is the stored form of the record's value, so it is written unchanged. */
 export type MachineGroup = z.infer<typeof groupSchema>;
 
-/** One machine, as its group's record has it. */
+/** One machine, as read from its group's record. */
 export interface MachineRecord extends Omit<MachineGroup, "machines"> {
   /** The key of the group's record. */
   groupKey: string;
-  /** Whether it has been selected for removal. */
+  /** Whether the machine has been selected for removal. */
   isDraining: boolean;
-  /** Whether an owner has ever received a heartbeat of it. Nothing is placed on it before this is written. */
+  /** Whether an owner has ever received a heartbeat from it. No task is placed on it before this is recorded. */
   hasReported: boolean;
 }
 
-/** Reads the stored value of a group's record; null if it is not one. Unknown fields are dropped. */
+/** Parses the stored value of a group's record; null if it is malformed. Unknown fields are dropped. */
 export const readMachineGroup = (value: unknown): MachineGroup | null =>
   groupSchema.safeParse(value).data ?? null;
 
-/** One machine of a group; `key` is that of the group's record. */
+/** Extracts one machine of a group; `key` is the key of the group's record. */
 export function machineRecordFrom(key: string, group: MachineGroup, host: string): MachineRecord {
   const { shard, type, zone, spot, since } = group;
   const machineStage = group.machines[host];
@@ -52,12 +52,12 @@
   };
 }
 
-/** The most that one machine takes in a record: names have at most 100 characters. */
+/** The largest size of one machine's entry in a record: host names have at most 100 characters. */
 const BYTES_PER_MACHINE = 128;
-/** How many machines' bytes are left to the other fields of a record. */
+/** The space reserved for the other fields of a record, in machine entries. */
 const MACHINES_IN_OTHER_FIELDS = 4;
 
-/** How many machines one record may hold, whatever their names; `valueBytes` is the largest value of the store. */
+/** How many machines one record can hold, whatever their names; `valueBytes` is the store's largest value size. */
 export function maxMachinesPerGroup(valueBytes: number): number {
   return Math.max(1, Math.floor(valueBytes / BYTES_PER_MACHINE) - MACHINES_IN_OTHER_FIELDS);
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,4 +1,4 @@
-/** A machine as the owner of its shard knows it: its worker's heartbeats, what is placed on it, and its condition. */
+/** The state of a machine in memory at its shard's owner: heartbeats, placements and health. */
 import type { TaskStatus } from "../wire/index.js";
 import type { MachineRecord } from "./machine-records.js";
 import type { Placement } from "./placement.js";
@@ -6,63 +6,63 @@
 
 /** A machine of the shard. All instants are steady time in milliseconds. */
 export class Machine {
-  // What is on it.
+  // Tasks and images: written by reconciliation, except for `placements`.
 
-  /** Attempts that are not proven gone; changed by `attach` and `detach`. */
+  /** Attempts that may still be on the machine; changed by `attach` and `detach`. */
   readonly placements = new Set<Placement>();
-  /** Reported tasks that belong to no attempt known here, as "job/index": they are being stopped. By reconciliation. */
+  /** Reported tasks that match no known attempt and are being stopped, as "job/index". */
   orphanTasks = new Set<string>();
-  /** The tasks of the last heartbeat that was reconciled; for the checks of a drain. By reconciliation. */
+  /** The tasks in the last reconciled heartbeat; used to check that a drained machine is empty. */
   reportedTasks: TaskStatus[] = [];
-  /** Images that the machine has surely fetched, as a task that uses them has run there. By reconciliation. */
+  /** Images that the machine is known to have fetched, because a task that uses them has run there. */
   readonly images = new Set<string>();
-  /** Since when it has been empty, and in how many heartbeats in a row. By reconciliation; reset by the shard. */
+  /** Since when, and for how many consecutive heartbeats, the machine has been empty; also reset by the shard. */
   emptySince: number | null = null;
   emptyHeartbeats = 0;
 
   // Heartbeats: written by reconciliation.
 
-  /** Whether a heartbeat has shown that the worker follows this owner's term. */
+  /** Whether a heartbeat has shown that the worker's highest token is one of this owner's term. */
   followsTerm = false;
   /** The epoch and sequence number of the last heartbeat. */
   epoch = 0;
   sequence = 0;
-  /** When the first heartbeat of the epoch came in. */
+  /** When the first heartbeat of the epoch was received. */
   epochSince = -Infinity;
-  /** When the last responses in the epoch were sent. */
+  /** When the most recent responses in the epoch were sent, oldest first. */
   readonly responseTimes: number[] = [];
-  /** Since when responses have been found not to reach the worker; null while they do. */
+  /** When responses were first found not to reach the worker; null while they reach it. */
   responsesLostSince: number | null = null;
-  /** When the first heartbeat in this owner's term came in. */
+  /** When the first heartbeat in this owner's term was received. */
   firstHeartbeatAt: number | null = null;
-  /** When the last heartbeat came in whose response may have renewed the worker's lease. */
+  /** When the last heartbeat was received whose response may have renewed the worker's lease. */
   lastHeartbeatAt: number | null = null;
-  /** In how many seconds the cloud takes the machine away, by the last heartbeat; null without a notice. */
+  /** Seconds until the cloud reclaims the machine, as of the last heartbeat; null without a notice. */
   interruptionNoticeS: number | null = null;
-  /** When the worker's lease was found to have expired; null while it may hold. Written by the shard as well. */
+  /** When the worker's lease was found to have expired; null while it may be valid. Also written by the shard. */
   leaseExpiredAt: number | null = null;
 
   // Scheduling: written by the shard.
 
-  /** Whether an earlier owner may have started tasks on it that no heartbeat has shown yet. */
+  /** Whether an earlier owner may have started tasks on the machine that no heartbeat has reported yet. */
   mayHaveUnreportedTasks = false;
-  /** Before this nothing new may be placed here. */
+  /** The instant before which no task may be placed on the machine. */
   notBefore = -Infinity;
-  /** Being transferred to another shard or drained: nothing new may be placed here. */
+  /** Whether the machine is being transferred or drained, so that no task may be placed on it. */
   isRemovalPending = false;
-  /** To run empty for another shard: nothing new is placed here meanwhile. Written by the shard's cordons. */
+  /** Whether placement is suspended until the machine is empty for another shard. Written by the shard's cordons. */
   isCordoned = false;
 
-  // Faults and speed: written by the shard's failure tracker and speed tracker.
+  // Failures and speed: written by the shard's failure tracker and speed tracker.
 
-  /** Jobs that failed here since a task last ended well, by id. */
+  /** Jobs that failed on the machine since a task last succeeded there, by id. */
   readonly failedJobs = new Set<string>();
   isQuarantined = false;
-  /** How long tasks run here in relation to others of their jobs: 1 is as long. */
+  /** The run time of tasks on the machine relative to other tasks of their jobs: 1 means equally long. */
   relativeRunTime = 1;
-  /** How many tasks that was computed from. */
+  /** The number of tasks from which `relativeRunTime` is computed. */
   comparedTaskCount = 0;
-  /** Whether tasks take much longer here than elsewhere: the machine is filled last. */
+  /** Whether tasks take much longer on the machine than elsewhere, so that it is filled last. */
   isSlow = false;
 
   private usedSum: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
@@ -74,22 +74,25 @@
     readonly addedAt: number,
   ) {}
 
-  /** Whether the worker follows this owner and its lease may hold. */
+  /** Whether the worker follows this owner's term and its lease may be valid. */
   get isUp(): boolean {
     return this.followsTerm && this.leaseExpiredAt === null;
   }
 
-  /** Whether an epoch has ended since responses were found lost: what ran here is gone, and nothing new will start. */
+  /**
+   * Whether an epoch has ended since responses were found to be lost. The earlier tasks have then ended with the
+   * worker's lease, and no new task can start.
+   */
   get hasLostResponses(): boolean {
     return this.responsesLostSince !== null && this.epochSince >= this.responsesLostSince;
   }
 
-  /** Whether new tasks may be placed here. */
+  /** Whether new tasks may be placed on the machine. */
   get isSchedulable(): boolean {
     return this.isHealthy && !this.isCordoned;
   }
 
-  /** Whether it is up, recorded as such, reached by responses and not about to be removed. */
+  /** Whether the machine is up and recorded as up, receives responses, is not quarantined and is not to be removed. */
   get isHealthy(): boolean {
     return (
       this.isUp &&
@@ -102,27 +105,27 @@
     );
   }
 
-  /** Whether nothing is on it, by the placements as well as by the last heartbeat. */
+  /** Whether the machine has no task according to both the placements and the last heartbeat. */
   get isEmpty(): boolean {
     return this.placements.size === 0 && this.orphanTasks.size === 0 && this.reportedTasks.length === 0;
   }
 
-  /** What its placements use together; kept, so that no heartbeat adds it up. */
+  /** The resources used by all placements; maintained incrementally so that no heartbeat has to sum them. */
   usedResources(): Readonly<Resources> {
     return this.usedSum;
   }
 
-  /** Records an attempt; without effect if it is recorded already. */
+  /** Adds an attempt; does nothing if it has been added already. */
   attach(placement: Placement): void {
     if (this.placements.has(placement)) return;
     this.placements.add(placement);
     addResources(this.usedSum, placement.job.spec);
   }
 
-  /** Removes an attempt; without effect if it is not recorded. */
+  /** Removes an attempt; does nothing if it is not on the machine. */
   detach(placement: Placement): void {
     if (!this.placements.delete(placement)) return;
-    // Sums of fractions drift; an empty machine is exactly empty.
+    // Floating-point errors accumulate in the sum; it is reset to exactly zero when the machine has no placement.
     if (this.placements.size === 0) this.usedSum = { cpus: 0, gpus: 0, memoryGb: 0 };
     else subtractResources(this.usedSum, placement.job.spec);
   }
--- a/src/workers/placement.ts
+++ b/src/workers/placement.ts
@@ -1,28 +1,28 @@
-/** Attempts of tasks on machines: how they come to be, and how they end. */
+/** Placements, which are attempts of tasks on machines: their creation and release. */
 import type { Job } from "./job.js";
 import type { Machine } from "./machine.js";
 
 /** One attempt of a task on a machine. */
 export interface Placement {
   readonly job: Job;
-  /** The number of the task in its job. */
+  /** The task's number within its job. */
   readonly index: number;
-  /** Never repeats within a shard; the worker reports it with the task. */
+  /** The attempt number: unique within a shard, and reported by the worker with the task. */
   readonly attempt: number;
   readonly machine: Machine;
-  /** `assigned`: chosen by this owner, not yet seen in a heartbeat. The others are as the worker reports them. */
+  /** `assigned`: placed by this owner, but not yet in a heartbeat. The other states are reported by the worker. */
   state: "assigned" | "fetching" | "running" | "saving";
-  /** Since when it has been in its state, as far as is known; steady time in milliseconds. */
+  /** Since when the attempt is known to be in its state, in steady time in milliseconds. */
   stateSince: number;
-  /** Whether an earlier attempt of this task was stopped, so that this one may go on from its checkpoint. */
+  /** Whether an earlier attempt of the task was stopped or lost, so that this one may continue from a checkpoint. */
   isResumed: boolean;
-  /** How many heartbeats in a row came in without this attempt, although the responses before them started it. */
+  /** The number of consecutive heartbeats without this attempt, although the responses before them started it. */
   missedHeartbeats: number;
-  /** Set once it has been decided to stop this attempt: why, and how long it may take to save. */
+  /** Set once the attempt is to be stopped: the reason, and the seconds that it may take to save its progress. */
   stop: { reason: "preempt" | "drain"; graceS: number } | null;
 }
 
-/** An attempt that has been chosen and not yet seen in a heartbeat; `now` is steady time in milliseconds. */
+/** Creates an attempt that no heartbeat has reported yet; `now` is steady time in milliseconds. */
 export function newPlacement(
   job: Job,
   index: number,
@@ -43,20 +43,20 @@
   };
 }
 
-/** Records that an attempt is on its machine, or on its way there, from now on. */
+/** Adds an attempt to its job and its machine. */
 export function attach(placement: Placement): void {
   placement.job.attach(placement);
   placement.machine.attach(placement);
 }
 
-/** Records that an attempt is proven not to be on its machine any more. */
+/** Removes an attempt that is proven to be no longer on its machine. */
 export function release(placement: Placement): void {
   placement.machine.detach(placement);
   if (placement.state !== "assigned") placement.job.interruptedTasks.add(placement.index);
   placement.job.detach(placement);
 }
 
-/** Records that nothing is left on a machine: the worker's lease has surely expired, or the machine is gone. */
+/** Removes all tasks from a machine whose worker's lease is proven to have expired, or that no longer exists. */
 export function releaseAll(machine: Machine): void {
   for (const placement of [...machine.placements]) release(placement);
   machine.orphanTasks = new Set();
--- a/src/workers/resources.ts
+++ b/src/workers/resources.ts
@@ -1,6 +1,6 @@
-/** Resources of tasks and machines, and sums of them. */
+/** Resources of tasks and machines, and their addition and subtraction. */
 
-/** Processors, graphics cards and memory. */
+/** Processors, graphics processors and memory. */
 export interface Resources {
   cpus: number;
   gpus: number;
--- a/src/workers/task-reconciliation.ts
+++ b/src/workers/task-reconciliation.ts
@@ -1,26 +1,26 @@
-/** What one task in a heartbeat shows, and what the worker is to do with it. */
+/** Reconciles the owner's state with one task in a heartbeat, and decides the worker's command for it. */
 import type { TaskStatus, WorkerCommand } from "../wire/index.js";
 import type { Job } from "./job.js";
 import type { Machine } from "./machine.js";
 import { attach, newPlacement, release, type Placement } from "./placement.js";
 
-/** What the reconciliation of tasks needs to know of the shard, and whom it notifies. */
+/** The shard state that task reconciliation reads, and the callbacks that it calls. */
 export interface TaskReconciliationContext {
-  /** The jobs of the shard by id, those included that have ended and still have tasks on machines. */
+  /** The jobs of the shard by id, including ended jobs that still have tasks on machines. */
   readonly jobs: ReadonlyMap<string, Job>;
   /** Steady time in milliseconds. */
   readonly now: number;
-  /** Called when an attempt known to this owner has ended with a result. */
+  /** Called when an attempt known to this owner has completed its task. */
   onAttemptFinished(placement: Placement): void;
-  /** Called when a task has ended on a machine; a completed one has been added to its job before. */
+  /** Called when a task has exited on a machine; a completed task is already marked as done in its job. */
   onTaskExited(job: Job, index: number, machine: Machine, cause: NonNullable<TaskStatus["cause"]>): void;
 }
 
 /**
  * Reconciles one task of a heartbeat whose worker follows this owner's term.
  *
- * @param reported the attempts that the heartbeat shows; the task's own is added
- * @returns the command that the task calls for, if any
+ * @param reported collects the known attempts that the heartbeat reports; the task's attempt is added
+ * @returns the command for the task; null if there is none
  */
 export function reconcileTask(
   machine: Machine,
@@ -48,7 +48,7 @@
   return null;
 }
 
-/** Whether a task of which no attempt is known may go on. */
+/** Whether a reported task without a known attempt may continue. */
 function canContinue(job: Job, index: number): boolean {
   return index < job.spec.tasks && !job.done.has(index) && !job.isTerminating;
 }
@@ -56,11 +56,11 @@
 function updateState(placement: Placement, state: Placement["state"], now: number): void {
   if (placement.state !== state) placement.stateSince = now;
   placement.state = state;
-  // Only a machine that has run the image surely has it.
+  // Only a task in the running state proves that the machine has fetched its image.
   if (state === "running") placement.machine.images.add(placement.job.spec.image);
 }
 
-/** An attempt that an earlier owner started: this owner goes on with it. */
+/** Takes over an attempt that an earlier owner started. */
 function inheritTask(machine: Machine, job: Job, { index, attempt }: TaskStatus, now: number): Placement {
   const inherited = newPlacement(job, index, attempt, machine, now);
   inherited.isResumed = true;
@@ -69,9 +69,9 @@
 }
 
 /**
- * A task that has ended: its resources are free, and the worker keeps its result until it is durable.
+ * Reconciles a task that has exited: its resources are freed. The worker keeps a completion until it is durable.
  *
- * @param placement the attempt, if it is known to this owner
+ * @param placement the attempt; null if this owner does not know it
  */
 function reconcileExitedTask(
   machine: Machine,
@@ -86,7 +86,7 @@
   if (placement !== null && cause === "done") context.onAttemptFinished(placement);
   if (job === undefined) return forget;
   if (cause === "done") {
-    // A result counts whichever attempt brought it. The worker may forget it only once it is durable.
+    // A completion counts whichever attempt reports it. The worker may forget it only once it is durable.
     if (job.markDone(index)) context.onTaskExited(job, index, machine, "done");
     return job.durablyDone.has(index) || job.isTerminating ? forget : null;
   }
