--- a/src/jobs/shard-assignment.ts
+++ b/src/jobs/shard-assignment.ts
@@ -14,7 +14,8 @@
 /**
  * Assigns each team to one shard, so that a single owner sees all usage that counts against the team's limit. If there
  * is only one team and it has no limit, its jobs are distributed instead: to the least loaded shard, and by hash among
- * equally loaded ones. A single team with a limit stays in one shard, since several owners could not enforce one limit.
+ * equally loaded ones; a shard whose load is unknown counts as having no backlog. A single team with a limit stays in
+ * one shard, since several owners could not enforce one limit.
  */
 export class ShardAssignment {
   private readonly loads = new Map<number, CpuLoad>();
