--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -1,20 +1,20 @@
-/** Admission control: whether a job can ever run. Pure. */
+/** Admission control: checks whether a submitted job could ever run. Pure. */
 import type { Settings, Team } from "../config/settings.js";
 import type { JobSpec, MachineType } from "../wire/index.js";
 
-/** Why a job is not accepted: its submission is wrong in itself, or no machine could ever run it. */
+/** Why a job is not accepted. `malformed`: the submission is invalid; `impossible`: no machine could ever run it. */
 export interface Rejection {
   kind: "malformed" | "impossible";
-  /** One line for the user. */
+  /** A one-line message for the user. */
   reason: string;
 }
 
-/** Whether a job can run, and if not why. */
+/** The result of the admission check. */
 export type Admission = { kind: "ok" } | Rejection;
 
 const impossible = (reason: string): Rejection => ({ kind: "impossible", reason });
 
-/** Checks a submission against teams, zones and machine types. */
+/** Checks a submission against the configured zones and teams, and the available machine types. */
 export function checkAdmission(
   spec: JobSpec,
   settings: Pick<Settings, "zones" | "teams">,
@@ -49,7 +49,10 @@
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus && spec.memoryGb <= type.memoryGb;
 }
 
-/** Guards against a job that waits for ever: half of its tasks, rounded up, would be all that may run. */
+/**
+ * Whether the tasks can be spread over at least two zones. Guards against a job that waits forever: in a single zone
+ * only half of its tasks, rounded up, may run.
+ */
 function canSpread(spec: JobSpec, fittingTypes: MachineType[]): boolean {
   const zones = new Set(fittingTypes.flatMap((type) => (spec.zone === null ? type.zones : [spec.zone])));
   return !spec.oneZone && zones.size >= 2;
--- a/src/placement/job-queue.ts
+++ b/src/placement/job-queue.ts
@@ -25,7 +25,7 @@
 /** The startable jobs that have waiting tasks, in scheduling order. */
 export function buildQueue(input: PlacementInput): QueueEntry[] {
   const waiting: Job[] = [];
-  for (const job of input.jobs) if (job.waiting > 0 && isStartable(job, input)) waiting.push(job);
+  for (const job of input.jobs) if (job.waitingCount > 0 && isStartable(job, input)) waiting.push(job);
   return prioritize(waiting, input);
 }
 
--- a/src/shards/decision-metrics.ts
+++ b/src/shards/decision-metrics.ts
@@ -1,6 +1,6 @@
 /** Metrics of lease renewal decisions and of how fast the tasks of ended jobs are stopped, for operators. */
 import { createHistogram, type RecordableHistogram } from "node:perf_hooks";
-import { VIOLATIONS, type RenewalRefusal } from "../workers/lease-renewal.js";
+import { INVARIANT_VIOLATIONS, type RenewalRefusal } from "../workers/lease-renewal.js";
 
 /** Upper bound of recorded durations: longer ones are recorded as this value. */
 const MAX_DURATION_MS = 3_600_000;
@@ -68,7 +68,7 @@
   /** Records a refused lease renewal. */
   recordRefusal(reason: RenewalRefusal): void {
     this.refusalCounts.set(reason, (this.refusalCounts.get(reason) ?? 0) + 1);
-    if (VIOLATIONS.has(reason)) this.violationCount++;
+    if (INVARIANT_VIOLATIONS.has(reason)) this.violationCount++;
   }
 
   /** Records the time from a job's end to the first stop command for its tasks. */
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -31,7 +31,7 @@
   recordSuccess(job: Job, machine: Machine): void {
     machine.failedJobs.clear();
     job.backOffCount = 0;
-    job.suspectedFaulty = false;
+    job.isSuspectedFaulty = false;
   }
 
   /** Records a failed task; `now` is steady time in milliseconds. */
@@ -39,11 +39,12 @@
     // Failures of tasks that were already running when the job was found faulty are no new evidence about it or its
     // machines.
     if (job.notBefore > now) return;
-    job.failedOn.set(machine.host, now);
+    job.lastFailedAtByHost.set(machine.host, now);
     machine.failedJobs.add(job.spec.id);
-    if (job.suspectedFaulty || job.failedOn.size >= MIN_MACHINES_FOR_FAULTY_JOB) this.backOff(job, now);
-    else if (machine.failedJobs.size >= MIN_JOBS_FOR_FAULTY_MACHINE && !machine.quarantined) {
-      machine.quarantined = true;
+    if (job.isSuspectedFaulty || job.lastFailedAtByHost.size >= MIN_MACHINES_FOR_FAULTY_JOB)
+      this.backOff(job, now);
+    else if (machine.failedJobs.size >= MIN_JOBS_FOR_FAULTY_MACHINE && !machine.isQuarantined) {
+      machine.isQuarantined = true;
       this.log.info({ host: machine.host, jobs: [...machine.failedJobs] }, "machine quarantined");
     }
   }
@@ -54,9 +55,9 @@
    * after all.
    */
   private backOff(job: Job, now: number): void {
-    for (const host of job.failedOn.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
-    job.failedOn.clear();
-    job.suspectedFaulty = true;
+    for (const host of job.lastFailedAtByHost.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
+    job.lastFailedAtByHost.clear();
+    job.isSuspectedFaulty = true;
     job.notBefore = now + Math.min(2 ** job.backOffCount * this.leaseMs, MAX_BACKOFF_MS);
     job.backOffCount++;
     this.log.info(
@@ -70,8 +71,8 @@
    * with room are those on which it failed.
    */
   expireFailures(jobs: Iterable<Job>, now: number): void {
-    for (const { failedOn } of jobs)
-      for (const [host, failedAt] of failedOn)
-        if (now - failedAt > FAILURE_RETENTION_LEASES * this.leaseMs) failedOn.delete(host);
+    for (const { lastFailedAtByHost } of jobs)
+      for (const [host, failedAt] of lastFailedAtByHost)
+        if (now - failedAt > FAILURE_RETENTION_LEASES * this.leaseMs) lastFailedAtByHost.delete(host);
   }
 }
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -6,7 +6,7 @@
 import {
   decideRenewalPermission,
   LeaseRenewal,
-  VIOLATIONS,
+  INVARIANT_VIOLATIONS,
   type RenewalPermission,
   type RejectedRenewal,
   type RenewalRefusal,
@@ -96,7 +96,8 @@
       copyAgeMs: Math.round(viewAgeMs),
     };
     if (reason === null) this.log.info(evidence, "lease renewals resumed");
-    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "lease renewals refused");
+    else if (INVARIANT_VIOLATIONS.has(reason))
+      this.log.error({ ...evidence, reason }, "lease renewals refused");
     else this.log.info({ ...evidence, reason }, "lease renewals refused");
   }
 
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -10,7 +10,7 @@
 import { runSchedule, type ScheduledFault, type ScheduledLink } from "../support/link-cuts.js";
 import { Simulation, type SimulatedNode } from "../support/simulation.js";
 import { testSettings } from "../support/settings.js";
-import { TEAMS, work } from "../support/workload.js";
+import { TEAMS, submitRandomJobs } from "../support/workload.js";
 import { reportPage } from "./links-report.js";
 
 const CONTROLLERS = 3;
@@ -108,7 +108,7 @@
 ): Promise<void> {
   await withSimulation(seed, "enforce", async (world) => {
     let isOver = false;
-    void work(world, () => isOver, 1000);
+    void submitRandomJobs(world, () => isOver, 1000);
     await world.run(WARM_UP_MS);
     const node = nodeToCut(world, link);
     const linkPrefix = link === "peers" ? "peer:" : link;
@@ -160,7 +160,7 @@
   const overload = (world: Simulation): void => {
     world.stateLatencyMs = 400;
     world.answersHeldMs = 2000;
-    world.workers.copies = 0.3;
+    world.workers.duplicateShare = 0.3;
   };
   const found: FalseAlarms[] = [];
   for (const [schedule, prepare] of [
@@ -180,7 +180,7 @@
 
 async function countDowns(world: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
   let isOver = false;
-  void work(world, () => isOver, 1000);
+  void submitRandomJobs(world, () => isOver, 1000);
   let before = new Set<string>();
   const until = world.now + ms;
   while (world.now < until) {
@@ -212,7 +212,7 @@
     for (let seed = 1; seed <= seeds; seed++)
       await withSimulation(seed, mode, async (world) => {
         let isOver = false;
-        void work(world, () => isOver, 1000);
+        void submitRandomJobs(world, () => isOver, 1000);
         await world.run(WARM_UP_MS);
         const before = { questions: world.peerQuestions, requests: world.store.requests };
         const cpu = process.cpuUsage();
@@ -251,7 +251,7 @@
         };
         let isOver = false;
         void runSchedule(world, randomSchedule(world)).then(() => (isOver = true));
-        await work(world, () => isOver, 1000);
+        await submitRandomJobs(world, () => isOver, 1000);
         for (const job of world.jobs.values()) sum.tasksDone += job.completed.size;
         sum.starts += world.cloud.startedTasks.length;
         sum.broken += world.broken.length;
--- a/test/support/cloud.ts
+++ b/test/support/cloud.ts
@@ -1,10 +1,10 @@
 /** A fake cloud whose machines each run a fake worker. */
 import { sleep } from "../../src/runtime/sleep.js";
-import { listen, type Listening, type Reply } from "./http.js";
+import { listen, type TestServer, type Reply } from "./http.js";
 import {
-  WorkerStandIn,
+  FakeWorker,
   type EndCause,
-  type WorkerFigures,
+  type WorkerOptions,
   type WorkerNetwork,
   type WorkerObserver,
 } from "./worker.js";
@@ -17,7 +17,7 @@
 
 /** Handles the cloud's requests in memory; each rented machine runs a worker. */
 export class FakeCloud implements WorkerObserver {
-  readonly machines = new Map<string, WorkerStandIn>();
+  readonly machines = new Map<string, FakeWorker>();
   /** Violations of the rule that a task runs on only one machine at a time. */
   readonly duplicateRuns: string[] = [];
   /** The task of every start, on any machine and in order; a task that was started again is listed again. */
@@ -31,11 +31,11 @@
 
   constructor(
     private readonly network: WorkerNetwork,
-    private readonly workerOptions: WorkerFigures,
+    private readonly workerOptions: WorkerOptions,
     private readonly observer?: CloudObserver,
   ) {}
 
-  started(task: string, worker: WorkerStandIn): void {
+  started(task: string, worker: FakeWorker): void {
     this.startedTasks.push(task);
     for (const [otherHost, { running }] of this.machines)
       if (otherHost !== worker.host && running.has(task))
@@ -47,7 +47,7 @@
     this.observer?.completed(task);
   }
 
-  ended(task: string, worker: WorkerStandIn, cause: EndCause, at: number): void {
+  ended(task: string, worker: FakeWorker, cause: EndCause, at: number): void {
     this.observer?.ended?.(task, worker, cause, at);
   }
 
@@ -99,7 +99,7 @@
     for (let i = 0; i < grantedCount; i++) {
       const host = `i-${String(this.nextHostNumber++).padStart(6, "0")}`;
       hosts.push(host);
-      this.machines.set(host, new WorkerStandIn(host, zone, spot, this.network, this.workerOptions, this));
+      this.machines.set(host, new FakeWorker(host, zone, spot, this.network, this.workerOptions, this));
     }
     if (hosts.length > 0) this.hostsByOrder.set(order, hosts);
     return hosts;
@@ -109,11 +109,11 @@
 /** Starts a fake cloud on loopback whose workers send their heartbeats over HTTP. */
 export async function startFakeCloud(
   controllers: { node: string; address: string }[],
-  workerOptions: WorkerFigures,
+  workerOptions: WorkerOptions,
   observer?: CloudObserver,
   /** The delay of each response to a worker, in milliseconds. */
   answerDelayMs: () => number = () => 0,
-): Promise<FakeCloud & Listening> {
+): Promise<FakeCloud & TestServer> {
   const network: WorkerNetwork = {
     controllers: controllers.map(({ node }) => node),
     clock: () => performance.now(),
--- a/test/support/job-transfers.ts
+++ b/test/support/job-transfers.ts
@@ -13,7 +13,7 @@
   world: Simulation,
   overrides: Record<string, unknown>,
 ): Promise<UserJob> {
-  const runTimesMs = (world.workers.runOf ??= new Map());
+  const runTimesMs = (world.workers.runMsByJob ??= new Map());
   world.cloud.capacity = 2;
   runTimesMs.set("req-1", LONG_RUN_MS);
   const large = world.submit("req-1", { pieces: 2, vcpus: 3, guessS: LONG_RUN_MS / 1000 });
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -186,8 +186,8 @@
     const shard = newShard({ shard: SHARD, termToken: TOKEN, view });
     let activeReads = 0;
     const [first] = shard.jobs.values();
-    const { active } = first!;
-    Object.defineProperty(first, "active", { get: () => (activeReads++, active) });
+    const { activeAttempts } = first!;
+    Object.defineProperty(first, "activeAttempts", { get: () => (activeReads++, activeAttempts) });
     assert.deepEqual(shard.summary(TOKEN, 0).migrationCandidates, [], "the team has used up its quota");
     assert.ok(activeReads < 20, `${activeReads} reads of one job's attempts`);
   });
