--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -144,7 +144,7 @@
     this.token = ++this.version;
     const { token: termToken, now: termStartedAt, view } = this;
     this.currentShard = newShard({ shard: 0, termToken, termStartedAt, view });
-    return [`token ${this.token}`, `isRecovered ${this.shard.isRecovered}`];
+    return [`token ${this.token}`, `recovered ${this.shard.isRecovered}`];
   }
 
   private heartbeat(host: string, event: TraceEvent): string[] {
