--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -95,10 +95,10 @@
       viewAgeMs: Math.round(authority.viewAgeMs),
       copyAgeMs: Math.round(viewAgeMs),
     };
-    if (reason === null) this.log.info(evidence, "lease renewals resumed");
+    if (reason === null) this.log.info(evidence, "heartbeats answered");
     else if (INVARIANT_VIOLATIONS.has(reason))
-      this.log.error({ ...evidence, reason }, "lease renewals refused");
-    else this.log.info({ ...evidence, reason }, "lease renewals refused");
+      this.log.error({ ...evidence, reason }, "heartbeats refused");
+    else this.log.info({ ...evidence, reason }, "heartbeats refused");
   }
 
   /**
