--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -85,7 +85,7 @@
   /** Places queued tasks on a machine that has just sent a heartbeat. Returns the number of tasks placed. */
   placeOnMachine(host: string, token: number, now: number): number {
     const machine = this.dependencies.machines.byHost.get(host);
-    if (machine === undefined || !machine.schedulable || this.queue.length === 0) return 0;
+    if (machine === undefined || !machine.isSchedulable || this.queue.length === 0) return 0;
     // The queue is that of the last full round: jobs accepted since then are placed from the next full round on.
     const hasEnoughImageHolders = (job: Job): boolean =>
       this.imageHolders.canHoldWaiting(job, this.dependencies.types().get(machine.record.type));
@@ -101,7 +101,7 @@
     const machine = this.dependencies.machines.byHost.get(host);
     if (!machine?.followsTerm) return [];
     return [...machine.placements]
-      .filter(({ state, stop, job }) => state === "assigned" && !stop && !job.terminating)
+      .filter(({ state, stop, job }) => state === "assigned" && !stop && !job.isTerminating)
       .map(({ job, index, attempt }) => ({ op: "start", job: job.spec.id, index, attempt }));
   }
 
@@ -133,7 +133,7 @@
   }
 
   private hasWaitingTasks(): boolean {
-    for (const job of this.dependencies.jobs.byId.values()) if (job.waiting > 0) return true;
+    for (const job of this.dependencies.jobs.byId.values()) if (job.waitingCount > 0) return true;
     return false;
   }
 
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -44,7 +44,7 @@
     this.parts = createShardParts(dependencies);
     this.sync(dependencies.view, null, dependencies.termStartedAt);
     // A machine that has never reported to any owner has never been sent a start command.
-    for (const machine of this.machines.values()) machine.unreconciled = machine.record.hasReported;
+    for (const machine of this.machines.values()) machine.mayHaveUnreportedTasks = machine.record.hasReported;
   }
 
   /** The jobs by id. */
@@ -158,7 +158,7 @@
    * done, so no attempt of it may still be running by then, not even one whose task was completed by another attempt.
    */
   private canComplete(job: Job): boolean {
-    return job.maxParallelTasks === Infinity || (job.active.size === 0 && this.isRecovered);
+    return job.maxParallelTasks === Infinity || (job.activeAttempts.size === 0 && this.isRecovered);
   }
 
   /** Builds completions for the progress of unfinished jobs, with at most `maxWrites` writes. */
--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -8,7 +8,7 @@
 import { Simulation } from "./support/simulation.js";
 import type { SettingsOptions } from "./support/settings.js";
 import { injectRandomFaults } from "./support/faults.js";
-import { TEAMS, work } from "./support/workload.js";
+import { TEAMS, submitRandomJobs } from "./support/workload.js";
 
 /** All accepted jobs end within this time after the last fault. */
 const MAX_COMPLETION_MS = 600_000;
@@ -57,6 +57,6 @@
     runScenario(seed, async (simulation) => {
       let injected: string[] | null = null;
       void injectRandomFaults(simulation, 10, 90_000).then((names) => (injected = names));
-      await work(simulation, () => injected !== null);
+      await submitRandomJobs(simulation, () => injected !== null);
       return injected;
     }));
--- a/test/half-cut-simulated.test.ts
+++ b/test/half-cut-simulated.test.ts
@@ -8,7 +8,7 @@
 import * as fc from "fast-check";
 import { runSchedule, type ScheduledFault, type ScheduledLink } from "./support/link-cuts.js";
 import { Simulation } from "./support/simulation.js";
-import { TEAMS, work } from "./support/workload.js";
+import { TEAMS, submitRandomJobs } from "./support/workload.js";
 
 const RUNS = {
   seed: Number(process.env.PROPERTY_SEED ?? 20_261_202),
@@ -55,14 +55,14 @@
   schedule: ScheduledFault[],
 ): Promise<{ violations: string[]; unfinished: string[] }> {
   const simulation = Simulation.start(CONTROLLERS, seed, ENFORCED);
-  simulation.workers.copies = 0.1;
+  simulation.workers.duplicateShare = 0.1;
   simulation.delayedTransactionShare = 0.05;
   try {
     await simulation.run(10_000);
     let isOver = false;
     void runSchedule(simulation, schedule).then(() => (isOver = true));
-    await work(simulation, () => isOver);
-    simulation.workers.copies = simulation.delayedTransactionShare = 0;
+    await submitRandomJobs(simulation, () => isOver);
+    simulation.workers.duplicateShare = simulation.delayedTransactionShare = 0;
     simulation.faultsEndedAt = simulation.now;
     await simulation.runUntil(() => simulation.unfinishedJobs().length === 0, MAX_COMPLETION_MS);
     return { violations: simulation.violations, unfinished: simulation.unfinishedJobs() };
@@ -84,7 +84,7 @@
   const simulation = Simulation.start(CONTROLLERS, 1, { teams: TEAMS, operator: { links: { mode } } });
   const { leaseMs } = simulation.settings.workers;
   try {
-    (simulation.workers.runOf ??= new Map()).set("req-1", 20 * leaseMs);
+    (simulation.workers.runMsByJob ??= new Map()).set("req-1", 20 * leaseMs);
     simulation.submit("req-1", { pieces: 6, guessS: 200 });
     await simulation.run(20_000);
     let moves = 0;
@@ -135,7 +135,7 @@
   for (const mode of ["off", "enforce"]) {
     const simulation = Simulation.start(CONTROLLERS, 4, { teams: TEAMS, operator: { links: { mode } } });
     try {
-      (simulation.workers.runOf ??= new Map()).set("req-1", 120_000);
+      (simulation.workers.runMsByJob ??= new Map()).set("req-1", 120_000);
       simulation.submit("req-1", { pieces: 6, guessS: 120 });
       await simulation.run(20_000);
       const owner = simulation.ownerOf(0)!;
--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -10,7 +10,7 @@
 import { runSchedule, type ScheduledFault, type ScheduledLink } from "../support/link-cuts.js";
 import { Simulation, type SimulatedNode } from "../support/simulation.js";
 import { testSettings } from "../support/settings.js";
-import { TEAMS, work } from "../support/workload.js";
+import { TEAMS, submitRandomJobs } from "../support/workload.js";
 import { reportPage } from "./links-report.js";
 
 const CONTROLLERS = 3;
@@ -108,7 +108,7 @@
 ): Promise<void> {
   await withSimulation(seed, "enforce", async (simulation) => {
     let isOver = false;
-    void work(simulation, () => isOver, 1000);
+    void submitRandomJobs(simulation, () => isOver, 1000);
     await simulation.run(WARM_UP_MS);
     const node = nodeToCut(simulation, link);
     const linkPrefix = link === "peers" ? "peer:" : link;
@@ -164,7 +164,7 @@
   const overload = (simulation: Simulation): void => {
     simulation.stateLatencyMs = 400;
     simulation.maxResponseDelayMs = 2000;
-    simulation.workers.copies = 0.3;
+    simulation.workers.duplicateShare = 0.3;
   };
   const found: FalseAlarms[] = [];
   for (const [schedule, prepare] of [
@@ -184,7 +184,7 @@
 
 async function countDowns(simulation: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
   let isOver = false;
-  void work(simulation, () => isOver, 1000);
+  void submitRandomJobs(simulation, () => isOver, 1000);
   let before = new Set<string>();
   const until = simulation.now + ms;
   while (simulation.now < until) {
@@ -217,7 +217,7 @@
     for (let seed = 1; seed <= seeds; seed++)
       await withSimulation(seed, mode, async (simulation) => {
         let isOver = false;
-        void work(simulation, () => isOver, 1000);
+        void submitRandomJobs(simulation, () => isOver, 1000);
         await simulation.run(WARM_UP_MS);
         const before = { questions: simulation.peerRequestCount, requests: simulation.store.requests };
         const cpu = process.cpuUsage();
@@ -263,7 +263,7 @@
         };
         let isOver = false;
         void runSchedule(simulation, randomSchedule(simulation)).then(() => (isOver = true));
-        await work(simulation, () => isOver, 1000);
+        await submitRandomJobs(simulation, () => isOver, 1000);
         for (const job of simulation.jobs.values()) sum.tasksDone += job.completedTasks.size;
         sum.starts += simulation.cloud.startedTasks.length;
         sum.broken += simulation.violations.length;
--- a/test/support/cancellation-chains.ts
+++ b/test/support/cancellation-chains.ts
@@ -11,7 +11,7 @@
 
 /** Starts a job whose tasks all run on one machine, for longer than the test takes. */
 async function runJobOnOneMachine(simulation: Simulation): Promise<UserJob> {
-  (simulation.workers.runOf ??= new Map()).set("req-1", RUN_MS);
+  (simulation.workers.runMsByJob ??= new Map()).set("req-1", RUN_MS);
   const job = simulation.submit("req-1", { pieces: TASKS_PER_MACHINE, guessS: RUN_MS / 1000 });
   const allRunning = (): boolean => simulation.runningTaskCount(job) === TASKS_PER_MACHINE;
   assert.ok(await simulation.runUntil(allRunning, 120_000), "all tasks run");
--- a/test/support/fault-combinations.ts
+++ b/test/support/fault-combinations.ts
@@ -34,7 +34,7 @@
 }
 
 function submitLongJob(simulation: Simulation, id: string, overrides: Record<string, unknown> = {}): UserJob {
-  (simulation.workers.runOf ??= new Map()).set(id, LONG_RUN_MS);
+  (simulation.workers.runMsByJob ??= new Map()).set(id, LONG_RUN_MS);
   return simulation.submit(id, { pieces: 6, guessS: LONG_RUN_MS / 1000, ...overrides });
 }
 
@@ -149,7 +149,7 @@
     settings: { teams: `${TEAMS}\n[[settings.teams]]\nname = "guest"` },
     async run(simulation) {
       simulation.cloud.capacity = 8;
-      const runs = (simulation.workers.runOf ??= new Map());
+      const runs = (simulation.workers.runMsByJob ??= new Map());
       runs.set("req-1", 3000);
       simulation.submit("req-1", { crew: "guest", pieces: 3000, guessS: 3, rank: "best_effort" });
       await simulation.run(15_000);
@@ -172,7 +172,7 @@
   {
     name: "half of the machines boot late or never, and all queued tasks still start within 45 s",
     async run(simulation) {
-      simulation.workers.late = 0.5;
+      simulation.workers.lateBootShare = 0.5;
       for (let i = 0; i < 10; i++) submitLongJob(simulation, `req-${i}`, { pieces: 8 });
       const jobs = [...simulation.jobs.values()];
       const runningCount = (): number => jobs.reduce((sum, job) => sum + simulation.runningTaskCount(job), 0);
@@ -180,7 +180,7 @@
         await simulation.runUntil(() => runningCount() === 80, 45_000),
         `${runningCount()} of 80 tasks run`,
       );
-      simulation.workers.late = 0;
+      simulation.workers.lateBootShare = 0;
     },
   },
   cancelBeforeOutage(2000, 45_000, false),
@@ -191,7 +191,7 @@
     name: "a job is cancelled while the state service refuses its owner, and the owner starts none of its waiting tasks",
     async run(simulation) {
       simulation.cloud.capacity = 4;
-      (simulation.workers.runOf ??= new Map()).set("req-1", 3000);
+      (simulation.workers.runMsByJob ??= new Map()).set("req-1", 3000);
       const job = simulation.submit("req-1", { pieces: 400, guessS: 2 });
       assert.ok(
         await simulation.runUntil(() => job.completedTasks.size > 8, 60_000),
@@ -231,10 +231,10 @@
       await startJob(simulation, "req-1", { pieces: 12 });
       const { owner } = ownerAndOther(simulation, 0);
       const machines = [...simulation.cloud.machines.values()];
-      machines.forEach((m, i) => (i % 2 === 0 ? (m.reportsLost = true) : (m.responsesLost = true)));
+      machines.forEach((m, i) => (i % 2 === 0 ? (m.areHeartbeatsLost = true) : (m.areResponsesLost = true)));
       await crashAndRestart(simulation, owner, 3000);
       await simulation.run(8000);
-      for (const m of machines) m.reportsLost = m.responsesLost = false;
+      for (const m of machines) m.areHeartbeatsLost = m.areResponsesLost = false;
     },
   },
   {
@@ -258,7 +258,7 @@
     async run(simulation) {
       const cancelled = await startJob(simulation, "req-1", { crew: "tight", pieces: 4, vcpus: 2 });
       const { owner, other } = ownerAndOther(simulation, 2);
-      for (const m of simulation.cloud.machines.values()) m.reportsLost = true;
+      for (const m of simulation.cloud.machines.values()) m.areHeartbeatsLost = true;
       simulation.crash(owner);
       await Promise.race([simulation.cancel(cancelled, other), simulation.run(5000)]);
       assert.ok(await simulation.runUntil(() => simulation.ownerOf(2) !== owner, 30_000));
@@ -269,7 +269,7 @@
         simulation.runningTaskCount(cancelled) > 0,
         "tasks of the cancelled job still run without reporting",
       );
-      for (const m of simulation.cloud.machines.values()) m.reportsLost = false;
+      for (const m of simulation.cloud.machines.values()) m.areHeartbeatsLost = false;
       simulation.startNode(owner);
     },
   },
@@ -286,14 +286,14 @@
   {
     name: "old heartbeats arrive after newer ones, at the next owner too",
     async run(simulation) {
-      simulation.workers.copies = 1;
+      simulation.workers.duplicateShare = 1;
       for (let i = 0; i < 4; i++) {
         submitLongJob(simulation, `req-${i}`, { pieces: 4 });
         await simulation.run(4000);
         await crashAndRestart(simulation, simulation.ownerOf(0)!, i % 2 ? 300 : 6000);
       }
       await simulation.run(15_000);
-      simulation.workers.copies = 0;
+      simulation.workers.duplicateShare = 0;
     },
   },
   {
@@ -307,20 +307,20 @@
       const [fullest] = [...simulation.cloud.machines.values()].sort(
         (a, b) => b.running.size - a.running.size,
       );
-      fullest!.reportsLost = true;
+      fullest!.areHeartbeatsLost = true;
       simulation.crash(owner);
       assert.ok(await simulation.runUntil(() => simulation.ownerOf(0) !== owner, 30_000));
       await simulation.run(1000);
       simulation.replayEmptyHeartbeats();
       await simulation.run(8000);
-      fullest!.reportsLost = false;
+      fullest!.areHeartbeatsLost = false;
       simulation.startNode(owner);
     },
   },
   {
     name: "tasks of the same job end far apart while the leader and then an owner restart",
     async run(simulation) {
-      const runs = (simulation.workers.runOf ??= new Map());
+      const runs = (simulation.workers.runMsByJob ??= new Map());
       for (let i = 0; i < 6; i++) {
         simulation.submit(`req-${i}`, { pieces: 2 + (i % 2), vcpus: 3 });
         runs.set(`req-${i}`, 2000);
@@ -421,10 +421,10 @@
     async run(simulation) {
       const job = await startJob(simulation, "req-1", { pieces: 8 });
       await startJob(simulation, "req-2", { pieces: 8 });
-      for (const m of simulation.cloud.machines.values()) m.reportsLost = true;
+      for (const m of simulation.cloud.machines.values()) m.areHeartbeatsLost = true;
       void simulation.cancel(job);
       await simulation.run(22_000);
-      for (const m of simulation.cloud.machines.values()) m.reportsLost = false;
+      for (const m of simulation.cloud.machines.values()) m.areHeartbeatsLost = false;
     },
   },
   {
@@ -476,7 +476,7 @@
       const cancellations = faults.cancelAtCompletion!(simulation, 60_000);
       for (let i = 0; i < 20; i++) {
         const job = simulation.submit(`req-${i}`, { pieces: 1 + (i % 3) });
-        (simulation.workers.runOf ??= new Map()).set(job.id, 1000 + simulation.randomBelow(4000));
+        (simulation.workers.runMsByJob ??= new Map()).set(job.id, 1000 + simulation.randomBelow(4000));
         await simulation.run(2500);
         for (const submitted of simulation.jobs.values())
           if (submitted.isAccepted) void simulation.resubmit(submitted);
--- a/test/support/faults.ts
+++ b/test/support/faults.ts
@@ -39,7 +39,7 @@
 async function impairMachines(
   simulation: Simulation,
   durationMs: number,
-  flag: "responsesLost" | "reportsLost" | "sick",
+  flag: "areResponsesLost" | "areHeartbeatsLost" | "isFaulty",
 ): Promise<void> {
   const machines = randomMachines(simulation);
   for (const machine of machines) machine[flag] = true;
@@ -101,16 +101,18 @@
     simulation.delayedTransactionShare = 0;
   },
   async heartbeatsDuplicated(simulation, durationMs) {
-    simulation.workers.copies = 0.3;
+    simulation.workers.duplicateShare = 0.3;
     await sleep(durationMs);
-    simulation.workers.copies = 0;
+    simulation.workers.duplicateShare = 0;
   },
   async machinesHang(simulation, durationMs) {
     await Promise.all(randomMachines(simulation).map((machine) => machine.hang(durationMs / 2)));
   },
-  machineResponsesLost: (simulation, durationMs) => impairMachines(simulation, durationMs, "responsesLost"),
-  machineHeartbeatsLost: (simulation, durationMs) => impairMachines(simulation, durationMs, "reportsLost"),
-  machinesFailTasks: (simulation, durationMs) => impairMachines(simulation, durationMs, "sick"),
+  machineResponsesLost: (simulation, durationMs) =>
+    impairMachines(simulation, durationMs, "areResponsesLost"),
+  machineHeartbeatsLost: (simulation, durationMs) =>
+    impairMachines(simulation, durationMs, "areHeartbeatsLost"),
+  machinesFailTasks: (simulation, durationMs) => impairMachines(simulation, durationMs, "isFaulty"),
   machinesTerminated(simulation) {
     for (const { host } of randomMachines(simulation)) simulation.cloud.machines.get(host)?.stop();
     return Promise.resolve();
--- a/test/support/http.ts
+++ b/test/support/http.ts
@@ -1,4 +1,4 @@
-/** A small JSON server for the stand-ins of services, and a stand-in for what the HTTP interface needs. */
+/** A small JSON server for fake services, and fake dependencies of the HTTP interface. */
 import { createServer, type IncomingMessage } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { HttpDependencies } from "../../src/http/app.js";
@@ -6,20 +6,21 @@
 import { DecisionMetrics } from "../../src/shards/decision-metrics.js";
 import { silentLogger } from "./records.js";
 
-/** A status and a JSON body; without a body it is `{}`. */
+/** A response: its status and its JSON body, which is `{}` by default. */
 export interface Reply {
   status: number;
   body?: unknown;
 }
 
-/** A stand-in that listens at an address, host:port. */
-export interface Listening {
+/** A running fake server. */
+export interface TestServer {
+  /** Where the server listens, host:port. */
   address: string;
   close(): void;
 }
 
-/** Answers one request. */
-export type Handler = (method: string, url: URL, body: unknown) => Reply | Promise<Reply>;
+/** Handles one request. */
+export type RequestHandler = (method: string, url: URL, body: unknown) => Reply | Promise<Reply>;
 
 async function readJsonBody(request: IncomingMessage): Promise<unknown> {
   let text = "";
@@ -27,8 +28,8 @@
   return text === "" ? undefined : JSON.parse(text);
 }
 
-/** Starts a server on a free port of this machine. */
-export function listen(handler: Handler): Promise<Listening> {
+/** Starts a server on a free port of the loopback interface. */
+export function listen(handler: RequestHandler): Promise<TestServer> {
   const server = createServer((request, response) => {
     void readJsonBody(request)
       .then((body) => handler(request.method ?? "", new URL(request.url ?? "/", "http://stand-in"), body))
@@ -50,7 +51,7 @@
   );
 }
 
-/** A healthy controller without jobs, which redirects all heartbeats to an unknown owner; parts of it can be replaced. */
+/** The dependencies of a healthy controller without jobs that redirects every heartbeat and does not know the owner. */
 export const httpDependencies = (replaced: Partial<HttpDependencies> = {}): HttpDependencies => ({
   users: { handle: () => Promise.resolve({ status: 404, body: { error: "no such job" } }) },
   routeHeartbeat: () => Promise.resolve({ kind: "redirect", owner: null }),
--- a/test/support/invariant-checker.ts
+++ b/test/support/invariant-checker.ts
@@ -1,7 +1,7 @@
 /** Invariants of a simulated deployment, checked against what the workers and the users observe. */
 import type { Simulation } from "./simulation.js";
 import type { UserJob } from "./user-job.js";
-import type { WorkerStandIn } from "./worker.js";
+import type { FakeWorker } from "./worker.js";
 
 /** After the last fault, no task waits for longer than this while a suitable machine has free capacity. */
 const MAX_STARTABLE_WAIT_MS = 90_000;
@@ -20,7 +20,7 @@
   constructor(private readonly simulation: Simulation) {}
 
   /** Checks the invariants that the start of a task can violate. */
-  checkStart(task: string, worker: WorkerStandIn): void {
+  checkStart(task: string, worker: FakeWorker): void {
     const job = this.simulation.jobOfTask(task)!;
     if (job.cancelledAt !== null && this.simulation.now - job.cancelledAt > MAX_START_DELAY_MS)
       this.startsAfterCancellation++;
@@ -54,7 +54,7 @@
   }
 
   /** Why a task may not run on a machine, given the job's other tasks; null if it may. */
-  private placementViolation(job: UserJob, task: string, worker: WorkerStandIn): string | null {
+  private placementViolation(job: UserJob, task: string, worker: FakeWorker): string | null {
     const { bank, together, spread, loaners, pieces } = job.body;
     const zones = new Map<string, number>();
     for (const { running, zone } of this.simulation.cloud.machines.values())
@@ -94,7 +94,7 @@
       )
         this.simulation.recordViolation(`forgotten: ${job.id} has no response for ${MAX_RESPONSE_GAP_MS} ms`);
       // Tasks that fail as soon as they start seem to wait, however often they are attempted.
-      if (this.simulation.workers.faulty?.has(job.id)) continue;
+      if (this.simulation.workers.faultyJobs?.has(job.id)) continue;
       const tasks = Array.from({ length: Number(job.body.pieces) }, (_, i) => `${job.id}/${i}`);
       const hasWaitingTask = tasks.some((task) => !running.has(task) && !job.completedTasks.has(task));
       const isStartable =
@@ -113,11 +113,11 @@
     return this.cpusUsedBy(team) + Number(job.body.vcpus) <= this.cpuLimitOf(team);
   }
 
-  private hasRoom(worker: WorkerStandIn, job: UserJob): boolean {
+  private hasRoom(worker: FakeWorker, job: UserJob): boolean {
     let used = 0;
     for (const task of worker.running) used += Number(this.simulation.jobOfTask(task)!.body.vcpus);
     return (
-      worker.well &&
+      worker.isConnected &&
       used + Number(job.body.vcpus) <= MACHINE_CPUS &&
       this.placementViolation(job, "", worker) === null
     );
--- a/test/support/job-transfers.ts
+++ b/test/support/job-transfers.ts
@@ -13,7 +13,7 @@
   simulation: Simulation,
   overrides: Record<string, unknown>,
 ): Promise<UserJob> {
-  const runTimesMs = (simulation.workers.runOf ??= new Map());
+  const runTimesMs = (simulation.workers.runMsByJob ??= new Map());
   simulation.cloud.capacity = 2;
   runTimesMs.set("req-1", LONG_RUN_MS);
   const large = simulation.submit("req-1", { pieces: 2, vcpus: 3, guessS: LONG_RUN_MS / 1000 });
--- a/test/support/simulation.ts
+++ b/test/support/simulation.ts
@@ -22,7 +22,7 @@
 import { testSettings, type SettingsOptions } from "./settings.js";
 import { FakeStateStore } from "./state-service.js";
 import { UserJob } from "./user-job.js";
-import type { WorkerFigures } from "./worker.js";
+import type { WorkerOptions } from "./worker.js";
 
 export type { UserJob };
 
@@ -99,7 +99,7 @@
   readonly jobs = new Map<string, UserJob>();
   /** Descriptions of the violated invariants, without duplicates. */
   readonly violations: string[] = [];
-  readonly workers: WorkerFigures;
+  readonly workers: WorkerOptions;
   readonly settings: Settings;
   /** The share of the transactions that get no response and are applied 2 to 12 s later. */
   delayedTransactionShare = 0;
@@ -131,8 +131,15 @@
     mock.method(crypto, "randomUUID", () => `${this.randomBelow(2 ** 31)}-${this.randomBelow(2 ** 31)}`);
     this.nodes = Array.from({ length: count }, (_, i) => new SimulatedNode(`node-${i}`, i, ZONES[i % 2]!));
     this.settings = this.settingsOf(this.nodes[0]!);
-    const { heartbeatIntervalMs: reportMs, leaseMs } = this.settings.workers;
-    this.workers = { reportMs, leaseMs, bootMs: 2000, runMs: 20_000, timeoutMs: 4000, retryMs: RETRY_MS };
+    const { heartbeatIntervalMs, leaseMs } = this.settings.workers;
+    this.workers = {
+      heartbeatIntervalMs,
+      leaseMs,
+      bootMs: 2000,
+      runMs: 20_000,
+      timeoutMs: 4000,
+      retryMs: RETRY_MS,
+    };
     this.cloud = new FakeCloud(
       {
         controllers: this.nodes.map((n) => n.name),
