--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -96,8 +96,7 @@
       copyAgeMs: Math.round(viewAgeMs),
     };
     if (reason === null) this.log.info(evidence, "heartbeats answered");
-    else if (INVARIANT_VIOLATIONS.has(reason))
-      this.log.error({ ...evidence, reason }, "heartbeats refused");
+    else if (INVARIANT_VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "heartbeats refused");
     else this.log.info({ ...evidence, reason }, "heartbeats refused");
   }
 
