--- a/test/support/fault-combinations.ts
+++ b/test/support/fault-combinations.ts
@@ -149,12 +149,12 @@
     settings: { teams: `${TEAMS}\n[[settings.teams]]\nname = "guest"` },
     async run(simulation) {
       simulation.cloud.capacity = 8;
-      const runs = (simulation.workers.runMsByJob ??= new Map());
-      runs.set("req-1", 3000);
+      const runMsByJob = (simulation.workers.runMsByJob ??= new Map());
+      runMsByJob.set("req-1", 3000);
       simulation.submit("req-1", { crew: "guest", pieces: 3000, guessS: 3, rank: "best_effort" });
       await simulation.run(15_000);
       for (let i = 100; i < 160; i++) {
-        runs.set(`req-${i}`, 3000);
+        runMsByJob.set(`req-${i}`, 3000);
         simulation.submit(`req-${i}`, { crew: "guest", pieces: 1, guessS: 3, rank: "best_effort" });
       }
       const urgent = simulation.submit("req-2", { rank: "urgent", pieces: 2, vcpus: 2 });
@@ -262,7 +262,7 @@
       simulation.crash(owner);
       await Promise.race([simulation.cancel(cancelled, other), simulation.run(5000)]);
       assert.ok(await simulation.runUntil(() => simulation.ownerOf(2) !== owner, 30_000));
-      // The new owner accepts this job itself, so the job need not wait for machines that have not reported yet.
+      // This job is accepted in the new owner's term, so it need not wait for machines that have not reported yet.
       submitLongJob(simulation, "req-2", { crew: "tight", pieces: 8, vcpus: 2 });
       await simulation.run(9000);
       assert.ok(
@@ -320,12 +320,12 @@
   {
     name: "tasks of the same job end far apart while the leader and then an owner restart",
     async run(simulation) {
-      const runs = (simulation.workers.runMsByJob ??= new Map());
+      const runMsByJob = (simulation.workers.runMsByJob ??= new Map());
       for (let i = 0; i < 6; i++) {
         simulation.submit(`req-${i}`, { pieces: 2 + (i % 2), vcpus: 3 });
-        runs.set(`req-${i}`, 2000);
+        runMsByJob.set(`req-${i}`, 2000);
         // Tasks that start after the second one run much longer.
-        simulation.onFirstStart(`req-${i}/1`, () => runs.set(`req-${i}`, 25_000));
+        simulation.onFirstStart(`req-${i}/1`, () => runMsByJob.set(`req-${i}`, 25_000));
       }
       await simulation.run(15_000);
       await crashAndRestart(simulation, simulation.leader()!, 400);
--- a/test/support/faults.ts
+++ b/test/support/faults.ts
@@ -50,6 +50,7 @@
 const cancellableJobs = (simulation: Simulation): UserJob[] =>
   [...simulation.jobs.values()].filter((job) => job.isAccepted && !job.hasEnded && !job.isCancelRequested);
 
+/** All faults by name. The order of the entries decides which faults a seed draws. */
 export const faults: Record<string, Fault> = {
   crash: (simulation) => crash(simulation, randomFaultTarget(simulation), randomDowntimeMs(simulation)),
   async crashAllNodes(simulation) {
@@ -149,8 +150,8 @@
 };
 
 /**
- * Injects random faults, which start within a window of simulated time and may overlap. Returns their names when all have
- * ended.
+ * Injects random faults, which start within a window of simulated time and may overlap. Returns their names once all
+ * have ended.
  */
 export async function injectRandomFaults(
   simulation: Simulation,
--- a/test/support/known-red.ts
+++ b/test/support/known-red.ts
@@ -1,4 +1,4 @@
-/** Tests that are known to fail for a fault that is not fixed yet: they run and are printed, but do not fail the suite. */
+/** Tests known to fail for a fault that is not fixed yet: they run and are printed, but do not fail the suite. */
 import { readFileSync } from "node:fs";
 
 /** A longer list would hide new failures. */
--- a/test/support/simulation.ts
+++ b/test/support/simulation.ts
@@ -1,4 +1,4 @@
-/* eslint-disable max-lines -- fault injection needs all of the deployment in one class; its collaborators are in files of their own */
+/* eslint-disable max-lines -- scenarios act on the deployment as one object; its parts are in files of their own */
 /**
  * Deterministic simulation of a whole deployment in one process: real controllers in simulated time, with fakes of the
  * state service, the cloud, the workers, the users and the network. All random draws come from one seeded generator, so
