--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from "node:fs";
 import { Command } from "commander";
 import { readOperatorSettings, type OperatorSettings } from "../config/operator.js";
-import { readText, SettingsError } from "../config/settings-file.js";
+import { readTextFile, SettingsError } from "../config/settings-file.js";
 import { parseSettings, type Settings } from "../config/settings.js";
 import { Controller } from "../controller/controller.js";
 import { peerTimeoutMs } from "../controller/timings.js";
@@ -11,7 +11,7 @@
 import { collectLinkReports, linkExitCode, linkTable } from "./link-report.js";
 
 /** The exit code for settings that cannot be used. */
-const BAD_SETTINGS_EXIT_CODE = 2;
+const INVALID_SETTINGS_EXIT_CODE = 2;
 
 /** The options of all commands, as commander gives them. */
 interface GlobalOptions {
@@ -30,19 +30,19 @@
 async function loadSettings({ config, operator }: GlobalOptions): Promise<LoadedSettings> {
   if (config === undefined) throw new SettingsError("--config <file> is needed");
   return {
-    settings: parseSettings(readText(config)),
+    settings: parseSettings(readTextFile(config)),
     operator: await readOperatorSettings(operator),
   };
 }
 
 /** Reports unusable settings in one line on stderr and sets the exit code; passes on all other errors. */
-async function reportBadSettings(command: () => Promise<void>): Promise<void> {
+async function reportSettingsError(command: () => Promise<void>): Promise<void> {
   try {
     await command();
   } catch (err) {
     if (!(err instanceof SettingsError)) throw err;
     process.stderr.write(`fernpond: ${err.message}\n`);
-    process.exitCode = BAD_SETTINGS_EXIT_CODE;
+    process.exitCode = INVALID_SETTINGS_EXIT_CODE;
   }
 }
 
@@ -83,12 +83,12 @@
     .version(version)
     .option("--config <file>", "the platform's settings (TOML)")
     .option("--operator <file>", "the operators' own settings (HCL)")
-    .action((options: GlobalOptions) => reportBadSettings(() => startController(options)));
+    .action((options: GlobalOptions) => reportSettingsError(() => startController(options)));
 
   program
     .command("check-config")
     .description("check the settings, say what is wrong with them, and end")
-    .action(() => reportBadSettings(() => checkConfig(program.opts<GlobalOptions>())));
+    .action(() => reportSettingsError(() => checkConfig(program.opts<GlobalOptions>())));
 
   program
     .command("links")
@@ -97,7 +97,7 @@
     )
     .option("--json", "as JSON")
     .action(({ json = false }: { json?: boolean }) =>
-      reportBadSettings(() => printLinks(program.opts<GlobalOptions>(), json)),
+      reportSettingsError(() => printLinks(program.opts<GlobalOptions>(), json)),
     );
   return program;
 }
--- a/src/cli/link-report.ts
+++ b/src/cli/link-report.ts
@@ -20,13 +20,13 @@
 /** Exit codes, for scripts; a lost link comes before a controller without an answer, and that before a monitor that is off. */
 export const LINK_EXIT_CODES = {
   /** Every controller answered, and none has lost a link. */
-  fine: 0,
+  ok: 0,
   /** Some controller has lost a link. */
-  lost: 1,
+  linkLost: 1,
   /** Some controller did not answer, and none of the others has lost a link. */
-  unreached: 3,
+  noResponse: 3,
   /** Some controller's monitor is off, so that it cannot say; none has lost a link, and all answered. */
-  off: 4,
+  monitorOff: 4,
 } as const;
 
 /** Requests reports from the controller that the settings are for, and from all its peers. */
@@ -49,9 +49,11 @@
 
 /** The exit code for all reports together. */
 export function linkExitCode(reports: NodeReport[]): number {
-  if (reports.some(({ status }) => status !== null && hasLostLink(status))) return LINK_EXIT_CODES.lost;
-  if (reports.some(({ status }) => status === null)) return LINK_EXIT_CODES.unreached;
-  return reports.some(({ status }) => status?.mode === "off") ? LINK_EXIT_CODES.off : LINK_EXIT_CODES.fine;
+  if (reports.some(({ status }) => status !== null && hasLostLink(status))) return LINK_EXIT_CODES.linkLost;
+  if (reports.some(({ status }) => status === null)) return LINK_EXIT_CODES.noResponse;
+  return reports.some(({ status }) => status?.mode === "off")
+    ? LINK_EXIT_CODES.monitorOff
+    : LINK_EXIT_CODES.ok;
 }
 
 /** Formats all reports as a table for people. The library is loaded only here, so that the daemon runs without it. */
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -2,7 +2,7 @@
 import * as z from "zod";
 import { linkSettingsSchema, type LinkSettings } from "../links/settings.js";
 import { parseWith } from "../wire/index.js";
-import { firstLine, readText, SettingsError } from "./settings-file.js";
+import { firstLine, readTextFile, SettingsError } from "./settings-file.js";
 
 /** The operators' own settings, defaults filled in. */
 export interface OperatorSettings {
@@ -60,7 +60,7 @@
 export async function readOperatorSettings(file: string | undefined): Promise<OperatorSettings> {
   if (file === undefined) return checkOperatorSettings({});
   const { default: parseHcl } = await import("hcl-to-json");
-  const text = readText(file);
+  const text = readTextFile(file);
   let raw: unknown;
   try {
     raw = parseHcl(text);
--- a/src/config/settings-file.ts
+++ b/src/config/settings-file.ts
@@ -31,7 +31,7 @@
  * Reads a file as text.
  * @throws SettingsError where the file cannot be read.
  */
-export function readText(file: string): string {
+export function readTextFile(file: string): string {
   try {
     return readFileSync(file, "utf8");
   } catch (err) {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -89,12 +89,12 @@
   state: StateStoreSettings;
   cloud: CloudSettings;
   /** How many sockets this process may have open. */
-  sockets: number;
+  maxSockets: number;
 }
 
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/, "expected host:port");
 const positive = z.number().positive();
-const amount = z.number().nonnegative();
+const nonNegative = z.number().nonnegative();
 
 const fileSchema = z
   .object({
@@ -107,15 +107,15 @@
     settings: z.object({
       initial_size: z.int().min(1),
       zones: z.array(z.string().min(1)).min(1),
-      clock_error_ms: amount.default(0),
+      clock_error_ms: nonNegative.default(0),
       teams: z
         .array(
           z.object({
             name: z.string().min(1),
-            cpus: amount.default(0),
-            cpus_max: amount.default(0),
-            gpus: amount.default(0),
-            gpus_max: amount.default(0),
+            cpus: nonNegative.default(0),
+            cpus_max: nonNegative.default(0),
+            gpus: nonNegative.default(0),
+            gpus_max: nonNegative.default(0),
           }),
         )
         .min(1),
@@ -130,7 +130,7 @@
         value_kb: positive,
         txn_ops: z.int().min(2),
       }),
-      cloud: z.object({ rps: positive, list_lag_s: amount }),
+      cloud: z.object({ rps: positive, list_lag_s: nonNegative }),
       resources: z.object({ sockets: z.int().positive().default(1024) }).default({ sockets: 1024 }),
     }),
   })
@@ -168,7 +168,7 @@
       txnOps: file.settings.state.txn_ops,
     },
     cloud: { rps: file.settings.cloud.rps, listLagMs: file.settings.cloud.list_lag_s * 1000 },
-    sockets: file.settings.resources.sockets,
+    maxSockets: file.settings.resources.sockets,
   }));
 
 /**
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -61,11 +61,11 @@
     private readonly settings: Settings,
     private readonly operator: OperatorSettings,
     private readonly log: Logger,
-    private readonly network: ControllerDependencies,
+    private readonly dependencies: ControllerDependencies,
   ) {
     this.timings = deriveTimings(settings, operator);
     this.links = this.makeLinkMonitoring();
-    const observed = this.links.observe(network);
+    const observed = this.links.observe(dependencies);
     this.peers = observed.peers;
     this.fleet = new Fleet(log);
     this.shardAssignment = new ShardAssignment(settings.teams, settings.controllers);
@@ -92,7 +92,7 @@
       operator: this.operator,
       timings: this.timings,
       incarnation: this.incarnation,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
     });
   }
@@ -103,7 +103,7 @@
       watchHttp: observed.watches,
       limits: this.settings.state,
       controllers: this.settings.controllers,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       timeoutMs: this.timings.callTimeoutMs,
     });
   }
@@ -112,7 +112,7 @@
     return new CloudClient(
       observed.cloud,
       this.settings.cloud.rps,
-      this.network.clock,
+      this.dependencies.clock,
       // A call to the cloud takes a good part of a second; a lost one is sent again under the same name.
       HEARTBEAT_TIMEOUT_S * 1000,
     );
@@ -137,7 +137,7 @@
       timings: this.timings,
       state: this.state,
       view: this.replica,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       callbacks: {
         onOwnershipChanged: () => {
           this.shards.reconcileOwnership();
@@ -152,13 +152,13 @@
   }
 
   private makeShardHost(): ShardHost {
-    const { roundBudgetMs, preemptionSpacingMs, quietTicks, maxViewAgeMs } = this.timings;
+    const { roundBudgetMs, minPreemptionIntervalMs, maxTicksWithoutHeartbeat, maxViewAgeMs } = this.timings;
     return new ShardHost({
       settings: this.settings,
       timings: {
         roundBudgetMs,
-        minPreemptionIntervalMs: preemptionSpacingMs,
-        maxTicksWithoutHeartbeat: quietTicks,
+        minPreemptionIntervalMs,
+        maxTicksWithoutHeartbeat,
         maxViewAgeMs,
         minIntervalMs: this.operator.passSpacingMs,
       },
@@ -172,7 +172,7 @@
       sendSummary: (summary) => {
         this.summaries.send(summary);
       },
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
     });
   }
@@ -185,7 +185,7 @@
       state: this.state,
       view: this.replica,
       fleet: this.fleet,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       callbacks: {
         leadership: () => this.membership.leaderVersion(),
         requestOwner: (shard, request) => this.controllerRequests.sendToOwner(shard, request),
@@ -217,8 +217,8 @@
       replica: this.replica,
       peers: this.peers,
       peerNames: this.settings.peers.map(({ node }) => node),
-      behindMs: this.timings.behindMs,
-      clock: this.network.clock,
+      maxReplicaLagMs: this.timings.maxReplicaLagMs,
+      clock: this.dependencies.clock,
     });
   }
 
@@ -230,7 +230,7 @@
       isBehind: () => this.health.isBehind() || !this.links.policy.allows("accept"),
       isOutage: () => this.links.policy.refuses("accept"),
       pauseMs: this.timings.peerTimeoutMs,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
     });
   }
@@ -243,8 +243,8 @@
       autoscaler: this.autoscaler,
       ownerOf: (shard) => this.shards.ownerOf(shard),
       requestController: (node, request) => this.controllerRequests.send(node, request),
-      clock: this.network.clock,
-      misroutedSpacingMs: this.timings.misroutedSpacingMs,
+      clock: this.dependencies.clock,
+      minMisroutedNoticeIntervalMs: this.timings.minMisroutedNoticeIntervalMs,
       maxMachines: this.operator.maxMachines,
       links: this.links,
     });
@@ -256,9 +256,9 @@
       state: this.state,
       leader: () => this.membership.leader(),
       requestController: (node, request) => this.controllerRequests.send(node, request),
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
-      spacingMs: this.operator.passSpacingMs,
+      passSpacingMs: this.operator.passSpacingMs,
       valueBytes: this.settings.state.valueBytes,
       queueTimeoutMs: this.timings.submitQueueTimeoutMs,
     });
@@ -270,7 +270,7 @@
       membership: this.membership,
       users: this.jobRequests,
       ownerOf: (shard) => this.shards.ownerOf(shard),
-      mayHandOver: (shard) => this.links.policy.tryHandOver(shard),
+      tryAcquireHandOver: (shard) => this.links.policy.tryHandOver(shard),
       linkStatus: () => this.links.status(),
       recordSummary: (summary) => this.summaries.receive(summary),
     });
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -14,7 +14,7 @@
 import { createDependencies, type ControllerDependencies } from "./dependencies.js";
 
 /** A failed watch is begun again after so many times the spacing of its requests. */
-const WATCH_RETRY_SPACINGS = 4;
+const WATCH_RETRY_INTERVALS = 4;
 
 /** A controller that listens to users and workers on `port`, and to other controllers on `peerPort`. */
 export interface RunningController extends ListeningServer {
@@ -31,10 +31,10 @@
     private readonly settings: Settings,
     operator: OperatorSettings,
     private readonly log: Logger,
-    network: ControllerDependencies = createDependencies(settings, log),
+    dependencies: ControllerDependencies = createDependencies(settings, log),
   ) {
-    this.clock = network.clock;
-    this.parts = new ControllerParts(settings, operator, log, network);
+    this.clock = dependencies.clock;
+    this.parts = new ControllerParts(settings, operator, log, dependencies);
   }
 
   /** What users, workers and health checks reach. */
@@ -86,8 +86,8 @@
     const peerPort = await this.parts.peers.listen(this.settings.peerListen, (request) =>
       this.answerPeer(request),
     );
-    const { idleConnectionMs } = this.parts.timings;
-    const server = await serve(this.httpDependencies, this.settings.listen, idleConnectionMs);
+    const { idleConnectionTimeoutMs } = this.parts.timings;
+    const server = await serve(this.httpDependencies, this.settings.listen, idleConnectionTimeoutMs);
     const { port } = server;
     this.log.info({ port, peerPort }, "listening");
     const close = (): void => {
@@ -99,13 +99,13 @@
 
   private watchRecords(stopped: AbortSignal): Readable {
     const { state, replica, timings } = this.parts;
-    const pace = {
+    const pacing = {
       waitMs: timings.watchWaitMs,
-      spacingMs: timings.watchSpacingMs,
-      retryMs: timings.watchSpacingMs * WATCH_RETRY_SPACINGS,
+      spacingMs: timings.minWatchIntervalMs,
+      retryMs: timings.minWatchIntervalMs * WATCH_RETRY_INTERVALS,
     };
-    const scope = { listed: LIVE_PREFIX, watched: ROOT_PREFIX };
-    const watch = watchRecords(state, scope, pace, this.clock, this.log);
+    const watchPrefixes = { listed: LIVE_PREFIX, watched: ROOT_PREFIX };
+    const watch = watchRecords(state, watchPrefixes, pacing, this.clock, this.log);
     pipeline(watch, replica, (err) => {
       if (err && !stopped.aborted) this.log.error({ err }, "watch of the records ended");
     });
--- a/src/controller/dependencies.ts
+++ b/src/controller/dependencies.ts
@@ -8,9 +8,9 @@
 import { peerTimeoutMs } from "./timings.js";
 
 /** The least number of connections for calls to the state service. */
-const MIN_STATE_SOCKETS = 4;
+const MIN_STATE_STORE_SOCKETS = 4;
 /** Calls to the state service may use one in so many of the process's sockets. */
-const SOCKETS_PER_STATE_SOCKET = 50;
+const SOCKETS_PER_STATE_STORE_SOCKET = 50;
 const WATCH_SOCKETS = 2;
 const CLOUD_SOCKETS = 4;
 
@@ -26,11 +26,14 @@
 
 /** Makes the real clock and network connections, to the addresses in the settings. */
 export function createDependencies(settings: Settings, log: Logger): ControllerDependencies {
-  const { stateAddress, cloudAddress, sockets } = settings;
-  const stateSockets = Math.max(MIN_STATE_SOCKETS, Math.floor(sockets / SOCKETS_PER_STATE_SOCKET));
+  const { stateAddress, cloudAddress, maxSockets } = settings;
+  const stateStoreSockets = Math.max(
+    MIN_STATE_STORE_SOCKETS,
+    Math.floor(maxSockets / SOCKETS_PER_STATE_STORE_SOCKET),
+  );
   return {
     clock: steadyClock,
-    state: new HttpJsonClient(stateAddress, stateSockets),
+    state: new HttpJsonClient(stateAddress, stateStoreSockets),
     watches: new HttpJsonClient(stateAddress, WATCH_SOCKETS),
     cloud: new HttpJsonClient(cloudAddress, CLOUD_SOCKETS),
     peers: new TcpPeerNetwork(settings.peers, peerTimeoutMs(settings), log),
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -23,7 +23,7 @@
   readonly requestController: (node: string | null, request: PeerRequest) => Promise<PeerReply>;
   readonly clock: SteadyClock;
   /** The least time between two notices to an owner that its workers send their heartbeats here, in milliseconds. */
-  readonly misroutedSpacingMs: number;
+  readonly minMisroutedNoticeIntervalMs: number;
   /** The most machines that the cluster may have. */
   readonly maxMachines: number;
   readonly links: Pick<LinkMonitoring, "recordHeartbeat" | "recordMisroutedHeartbeat">;
@@ -32,7 +32,7 @@
 /** Has heartbeats of this process's shards answered by their owners, and redirects all others. */
 export class HeartbeatRouter {
   /** When the owner of a shard was last notified that its workers send their heartbeats here; steady time. */
-  private readonly misroutedNoticeAt = new Map<number, number>();
+  private readonly lastMisroutedNoticeAt = new Map<number, number>();
 
   private readonly redirected: RedirectedWorkers;
 
@@ -51,7 +51,7 @@
       return { kind: "redirect", owner: null };
     }
     const owner = this.dependencies.ownerOf(record.shard);
-    if (owner === undefined) this.noteMisrouted(record.shard, heartbeat);
+    if (owner === undefined) this.reportMisroutedHeartbeat(record.shard, heartbeat);
     else this.dependencies.links.recordHeartbeat(record.shard, heartbeat.highestToken);
     if (owner === undefined || owner.writableNeedDrain) return this.redirect(record.shard);
     const response = await owner.ask<HeartbeatResponse>((reply) => ({
@@ -71,15 +71,19 @@
    * heartbeat at all. The same holds for a worker that was redirected to that owner before and comes back without its
    * token: a new owner may never have been reached.
    */
-  private noteMisrouted(shard: number, heartbeat: Heartbeat): void {
+  private reportMisroutedHeartbeat(shard: number, heartbeat: Heartbeat): void {
     const owner = this.dependencies.membership.owner(shard);
     const term = this.dependencies.membership.cluster.shards[shard]?.version;
     if (owner === null || term === undefined) return;
     const now = this.dependencies.clock();
     if (heartbeat.highestToken !== term && !this.redirected.hasReturned(heartbeat.host, term, now)) return;
     this.dependencies.links.recordMisroutedHeartbeat(shard, term, heartbeat.host);
-    if (now - (this.misroutedNoticeAt.get(shard) ?? -Infinity) < this.dependencies.misroutedSpacingMs) return;
-    this.misroutedNoticeAt.set(shard, now);
+    if (
+      now - (this.lastMisroutedNoticeAt.get(shard) ?? -Infinity) <
+      this.dependencies.minMisroutedNoticeIntervalMs
+    )
+      return;
+    this.lastMisroutedNoticeAt.set(shard, now);
     this.dependencies
       .requestController(owner, { misroutedHeartbeat: { shard, receivedBy: this.dependencies.node } })
       .catch(() => undefined);
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -20,7 +20,7 @@
 import { HEALTH_CHECK_S, HEARTBEAT_TIMEOUT_S } from "../wire/index.js";
 
 /** The number of missed health checks after which the users' load balancer counts as silent. */
-const SILENT_HEALTH_CHECKS = 5;
+const MISSED_HEALTH_CHECKS_UNTIL_SILENT = 5;
 
 /** What the link monitoring is made from. */
 export interface LinkMonitoringDependencies {
@@ -175,7 +175,7 @@
     // A worker that gets no answer sends its heartbeat to another controller after its time-out.
     misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.heartbeatIntervalMs,
     maxMachines,
-    usersSilentMs: SILENT_HEALTH_CHECKS * HEALTH_CHECK_S * 1000,
+    usersSilentMs: MISSED_HEALTH_CHECKS_UNTIL_SILENT * HEALTH_CHECK_S * 1000,
     clock,
   };
 }
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -18,7 +18,7 @@
   /** The owner of a shard, if it is in this process. */
   readonly ownerOf: (shard: number) => ShardOwner | undefined;
   /** Whether a shard may be handed over for the sake of its workers. */
-  readonly mayHandOver: (shard: number) => boolean;
+  readonly tryAcquireHandOver: (shard: number) => boolean;
   /** The state of this controller's links. */
   readonly linkStatus: () => LinkStatus;
   /** Records the load of a shard and returns the loads of all shards. */
@@ -101,7 +101,7 @@
 
   private handleMisroutedHeartbeat({ shard, receivedBy }: BodyOf<"misroutedHeartbeat">): PeerReply {
     // One worker alone is weak evidence; if none reaches this node any more, the shard is better owned where they go.
-    if (this.targets.ownerOf(shard)?.isCutOffFromWorkers && this.targets.mayHandOver(shard))
+    if (this.targets.ownerOf(shard)?.isCutOffFromWorkers && this.targets.tryAcquireHandOver(shard))
       this.targets.membership.tell({ kind: "hand_over", shard, successor: receivedBy });
     return EMPTY_REPLY;
   }
--- a/src/controller/summary-exchange.ts
+++ b/src/controller/summary-exchange.ts
@@ -17,7 +17,7 @@
   readonly clock: SteadyClock;
   readonly log: Logger;
   /** The time between two reconciliation passes, in milliseconds. */
-  readonly spacingMs: number;
+  readonly passSpacingMs: number;
   /** The largest value that a record may have, in bytes. */
   readonly valueBytes: number;
   /** How long a summary may wait until it is sent to the state service, in milliseconds. */
@@ -25,7 +25,7 @@
 }
 
 /** A summary is written to the records at most once in so many reconciliation passes. */
-const PASSES_PER_STORED_SUMMARY = 2;
+const PASSES_BETWEEN_STORED_SUMMARIES = 2;
 
 /** Keeps the load of each shard as far as this node knows it. */
 export class SummaryExchange {
@@ -64,7 +64,7 @@
     const { shard, token } = summary;
     if (
       now - (this.storedAt.get(shard) ?? -Infinity) <
-      PASSES_PER_STORED_SUMMARY * this.dependencies.spacingMs
+      PASSES_BETWEEN_STORED_SUMMARIES * this.dependencies.passSpacingMs
     )
       return;
     this.storedAt.set(shard, now);
--- a/src/controller/timings.ts
+++ b/src/controller/timings.ts
@@ -15,13 +15,13 @@
   /** Time-out of a call to the state service. */
   callTimeoutMs: number;
   /** A replica that has not been current for longer than this is behind. */
-  behindMs: number;
+  maxReplicaLagMs: number;
   /** Time-out of a request to a peer. */
   peerTimeoutMs: number;
   /** How long the state service may hold a watch request open while nothing changes. */
   watchWaitMs: number;
   /** The least time between two watch requests. */
-  watchSpacingMs: number;
+  minWatchIntervalMs: number;
   /** How long a submission or cancellation may wait until it is sent to the state service. */
   submitQueueTimeoutMs: number;
   /** How long a question about a job may wait for the replica to become current, or for a peer's reply. */
@@ -29,15 +29,15 @@
   /** Period of the actors' ticks. */
   tickMs: number;
   /** The number of ticks without a heartbeat after which a shard's workers count as unable to reach this node. */
-  quietTicks: number;
+  maxTicksWithoutHeartbeat: number;
   /** An HTTP connection on which nothing was received for this long is closed. */
-  idleConnectionMs: number;
+  idleConnectionTimeoutMs: number;
   /** The least time between two notices to an owner that its workers send their heartbeats to this controller. */
-  misroutedSpacingMs: number;
+  minMisroutedNoticeIntervalMs: number;
   /** The most time that one placement round may take. */
   roundBudgetMs: number;
   /** The least time between two searches for tasks to preempt. */
-  preemptionSpacingMs: number;
+  minPreemptionIntervalMs: number;
 }
 
 /** Time-out of a request to a peer, in milliseconds: peers answer at once or not in time for a user. */
@@ -61,23 +61,26 @@
     // Calls to the state service take milliseconds; four of these fit into a membership lease.
     callTimeoutMs: membershipLeaseMs / 5,
     // A quiet watch is answered after a heartbeat interval; past two of them something is wrong.
-    behindMs: 2 * heartbeatIntervalMs,
+    maxReplicaLagMs: 2 * heartbeatIntervalMs,
     peerTimeoutMs: peerTimeoutMs(settings),
     watchWaitMs: heartbeatIntervalMs,
     // Watches of all nodes together use a part of the service's request rate, but none comes more often than needed.
-    watchSpacingMs: Math.max(heartbeatIntervalMs / 10, (controllers / (WATCH_REQUEST_SHARE * rps)) * 1000),
+    minWatchIntervalMs: Math.max(
+      heartbeatIntervalMs / 10,
+      (controllers / (WATCH_REQUEST_SHARE * rps)) * 1000,
+    ),
     // A user waits five seconds for the answer to a submission, and two for the answer to a question.
     submitQueueTimeoutMs: membershipLeaseMs / 4,
     lookupTimeoutMs: membershipLeaseMs / 5,
     tickMs: heartbeatIntervalMs / TICKS_PER_HEARTBEAT,
     // A worker that can reach its owner sends a heartbeat within one and a quarter of the interval.
-    quietTicks: (3 / 2) * TICKS_PER_HEARTBEAT,
+    maxTicksWithoutHeartbeat: (3 / 2) * TICKS_PER_HEARTBEAT,
     // Users send a request every five seconds and workers one every heartbeat interval; past its lease a worker has no use
     // for the connection. Guards against a controller out of sockets: where users open a connection for each question,
     // those of the last minutes would take all that it has.
-    idleConnectionMs: leaseMs,
-    misroutedSpacingMs: heartbeatIntervalMs / 4,
+    idleConnectionTimeoutMs: leaseMs,
+    minMisroutedNoticeIntervalMs: heartbeatIntervalMs / 4,
     roundBudgetMs: heartbeatIntervalMs / 50,
-    preemptionSpacingMs: heartbeatIntervalMs / 2,
+    minPreemptionIntervalMs: heartbeatIntervalMs / 2,
   };
 }
--- a/src/runtime/json-client.ts
+++ b/src/runtime/json-client.ts
@@ -40,12 +40,12 @@
   private readonly host: string;
   private readonly port: number;
 
-  /** @param sockets the most connections at once; further calls wait for one */
-  constructor(address: string, sockets: number) {
+  /** @param maxSockets the most connections at once; further calls wait for one */
+  constructor(address: string, maxSockets: number) {
     const colon = address.lastIndexOf(":");
     this.host = address.slice(0, colon);
     this.port = Number(address.slice(colon + 1));
-    this.agent = new Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets });
+    this.agent = new Agent({ keepAlive: true, maxSockets, maxFreeSockets: maxSockets });
   }
 
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
--- a/test/connections.test.ts
+++ b/test/connections.test.ts
@@ -43,7 +43,7 @@
   // At 68 s, two cancellation times, the users of a deployment of 4,000 machines held more sockets than a controller has.
   test("an idle connection is kept for no longer than a worker's lease", () => {
     const settings = testSettings({ leaseS: 14, cancelS: 34 });
-    const { idleConnectionMs } = deriveTimings(settings, checkOperatorSettings({}));
-    assert.ok(idleConnectionMs <= settings.workers.leaseMs, `${idleConnectionMs} ms`);
+    const { idleConnectionTimeoutMs } = deriveTimings(settings, checkOperatorSettings({}));
+    assert.ok(idleConnectionTimeoutMs <= settings.workers.leaseMs, `${idleConnectionTimeoutMs} ms`);
   });
 });
--- a/test/support/record-writers.ts
+++ b/test/support/record-writers.ts
@@ -363,7 +363,7 @@
     requestController: () => Promise.reject(new Error("no answer")),
     clock: () => 0,
     log: silentLogger,
-    spacingMs: 1000,
+    passSpacingMs: 1000,
     valueBytes: 8192,
     queueTimeoutMs: 1000,
   });
