--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -17,7 +17,7 @@
   readonly userRequestHandler: UserRequestHandler;
   /** The owner of a shard; undefined if this process does not own it. */
   readonly ownerOf: (shard: number) => ShardOwner | undefined;
-  /** Whether a shard may be handed over so that its workers can reach its owner; each call counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. If true, it counts as an attempt. */
   readonly tryAcquireHandOver: (shard: number) => boolean;
   /** The state of this controller's links. */
   readonly linkStatus: () => LinkStatus;
