--- a/src/placement/eligibility.ts
+++ b/src/placement/eligibility.ts
@@ -19,8 +19,8 @@
  */
 export function isStartable(job: Job, term: OwnershipTerm): boolean {
   return (
-    !job.terminating &&
-    !job.migrating &&
+    !job.isTerminating &&
+    !job.isMigrating &&
     job.notBefore <= term.now &&
     (term.recovered || job.version > term.termToken)
   );
@@ -34,14 +34,14 @@
     (spec.types === null || spec.types.includes(record.type)) &&
     (spec.zone === null || spec.zone === record.zone) &&
     (spec.spot || !record.spot) &&
-    !job.failedOn.has(machine.host)
+    !job.lastFailedAtByHost.has(machine.host)
   );
 }
 
 /** The number of a job's tasks in each zone, including every attempt that is not proven gone. */
 export function countTasksByZone(job: Job): Map<string, number> {
   const tasksByZone = new Map<string, number>();
-  for (const { machine } of job.active.values()) countZone(tasksByZone, machine);
+  for (const { machine } of job.activeAttempts.values()) countZone(tasksByZone, machine);
   return tasksByZone;
 }
 
--- a/src/placement/job-placement.ts
+++ b/src/placement/job-placement.ts
@@ -47,7 +47,7 @@
   if (!isWithinQuota(team, usage, state.quota.unreconciled, job.spec)) return;
   // A suspected faulty job runs one task at a time: one failure is enough to detect the fault, and otherwise failing
   // tasks would occupy machine after machine.
-  if (job.suspectedFaulty && job.active.size > 0) return;
+  if (job.isSuspectedFaulty && job.activeAttempts.size > 0) return;
   const candidates = findCandidates(job, state);
   if (candidates.length === 0) return;
   // The score rises as a machine fills up: each machine is filled before the next one is considered.
@@ -83,7 +83,7 @@
     subtractResources(capacity, job.spec);
     addUsage(allocation.usage, job.spec);
     if (tasksByZone !== null) countZone(tasksByZone, machine);
-    if (job.suspectedFaulty) return false;
+    if (job.isSuspectedFaulty) return false;
   }
   return true;
 }
@@ -100,7 +100,7 @@
 }
 
 function nextUnplacedIndex(job: Job, placedIndexes: Set<number>): number | null {
-  for (let i = job.nextWaiting() ?? job.spec.tasks; i < job.spec.tasks; i++)
-    if (!job.done.has(i) && !job.active.has(i) && !placedIndexes.has(i)) return i;
+  for (let i = job.nextWaitingTask() ?? job.spec.tasks; i < job.spec.tasks; i++)
+    if (!job.done.has(i) && !job.activeAttempts.has(i) && !placedIndexes.has(i)) return i;
   return null;
 }
--- a/src/shards/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -28,7 +28,7 @@
   add(job: Job, earliestEndAt: number): void {
     this.pending.set(job.spec.id, { job, earliestEndAt, stopSent: false });
     this.log.info(
-      { shard: this.shard, job: job.spec.id, tasks: job.active.size },
+      { shard: this.shard, job: job.spec.id, tasks: job.activeAttempts.size },
       "ended job has tasks on machines",
     );
   }
@@ -47,7 +47,7 @@
   /** Removes the jobs that have no task left on any machine. */
   removeWithoutTasks(now: number): void {
     for (const [id, { job, earliestEndAt }] of this.pending) {
-      if (job.active.size > 0) continue;
+      if (job.activeAttempts.size > 0) continue;
       this.pending.delete(id);
       const tookMs = Math.round(now - earliestEndAt);
       this.metrics.recordTasksGone(tookMs);
--- a/src/shards/job-table.ts
+++ b/src/shards/job-table.ts
@@ -84,7 +84,7 @@
     for (const [id, bits] of Object.entries(jobs)) {
       const job = this.byId.get(id);
       if (job === undefined) continue;
-      if (job.durable.count === 0) this.completions.loadPageEntry(page, id, bits);
+      if (job.durablyDone.count === 0) this.completions.loadPageEntry(page, id, bits);
       job.mergeDone(0, bits);
     }
   }
@@ -118,15 +118,17 @@
     const job = this.byId.get(id);
     if (job === undefined) return;
     // The previous view still contained the job, so the job cannot have ended before that view was complete.
-    if (!job.terminating && job.active.size > 0) this.endedJobs.add(job, Math.min(now, this.completeAsOf));
-    job.terminating = true;
+    if (!job.isTerminating && job.activeAttempts.size > 0)
+      this.endedJobs.add(job, Math.min(now, this.completeAsOf));
+    job.isTerminating = true;
     this.completions.removeJob(job);
-    if (job.active.size === 0) this.byId.delete(id);
+    if (job.activeAttempts.size === 0) this.byId.delete(id);
   }
 
   /** Removes the ended jobs that have no task left on any machine. */
   removeEndedWithoutTasks(now: number): void {
     this.endedJobs.removeWithoutTasks(now);
-    for (const [id, job] of this.byId) if (job.terminating && job.active.size === 0) this.byId.delete(id);
+    for (const [id, job] of this.byId)
+      if (job.isTerminating && job.activeAttempts.size === 0) this.byId.delete(id);
   }
 }
--- a/src/shards/speed-tracker.ts
+++ b/src/shards/speed-tracker.ts
@@ -37,10 +37,10 @@
   }
 
   /** Records a completed task; `now` is steady time in milliseconds. */
-  recordFinished({ job, machine, state, stateSince, resumed }: Placement, now: number): void {
+  recordFinished({ job, machine, state, stateSince, isResumed }: Placement, now: number): void {
     const { className, estimateS, checkpointS } = job.spec;
     // A task that checkpoints may have resumed from a checkpoint, so its run time is not comparable.
-    if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && resumed)) return;
+    if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && isResumed)) return;
     const runMs = now - stateSince;
     const measured = runMs / 1000 / estimateS;
     const average = this.runtimeRatios.get(className) ?? measured;
@@ -55,11 +55,11 @@
     runs.count++;
     runs.totalMs += runMs;
     if (meanMs <= 0) return;
-    machine.comparedTasks++;
+    machine.comparedTaskCount++;
     machine.relativeRunTime += (runMs / meanMs - machine.relativeRunTime) * MACHINE_AVERAGE_WEIGHT;
-    const slow = machine.comparedTasks >= MIN_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
-    if (slow === machine.slow) return;
-    machine.slow = slow;
+    const slow = machine.comparedTaskCount >= MIN_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
+    if (slow === machine.isSlow) return;
+    machine.isSlow = slow;
     const { host, relativeRunTime: relativeRun } = machine;
     this.log.info({ host, relativeRun }, slow ? "machine marked slow" : "machine no longer slow");
   }
--- a/test/support/cancellation-chains.ts
+++ b/test/support/cancellation-chains.ts
@@ -11,7 +11,7 @@
 
 /** Starts a job whose tasks all run on one machine, for longer than the test takes. */
 async function runJobOnOneMachine(world: Simulation): Promise<UserJob> {
-  (world.workers.runOf ??= new Map()).set("req-1", RUN_MS);
+  (world.workers.runMsByJob ??= new Map()).set("req-1", RUN_MS);
   const job = world.submit("req-1", { pieces: TASKS_PER_MACHINE, guessS: RUN_MS / 1000 });
   const allRunning = (): boolean => world.runningOf(job) === TASKS_PER_MACHINE;
   assert.ok(await world.runUntil(allRunning, 120_000), "all tasks run");
--- a/test/support/settings.ts
+++ b/test/support/settings.ts
@@ -1,24 +1,24 @@
 /** Settings files for tests. */
 import { parseSettings, type Settings } from "../../src/config/settings.js";
 
-/** What a test sets by itself. */
+/** The settings that tests may override. */
 export interface SettingsOptions {
   node?: string;
   listen?: string;
-  /** Where the controller listens to other controllers. */
-  back?: string;
+  /** The address at which the controller listens for other controllers, host:port. */
+  peerListen?: string;
   peers?: { node: string; address: string }[];
   cloud?: string;
   state?: string;
-  /** The `teams` tables, as TOML. */
+  /** The `teams` tables in TOML. */
   teams?: string;
   controllers?: number;
-  reportS?: number;
+  heartbeatIntervalS?: number;
   leaseS?: number;
   cancelS?: number;
 }
 
-/** The text of a settings file as a platform would provide it. */
+/** Builds the text of a settings file in the form that the platform provides. */
 export function settingsText(options: SettingsOptions = {}): string {
   const peers = (options.peers ?? []).map(
     ({ node, address }) => `[[seeds]]\nnode_name = "${node}"\ndomain = "north"\naddress = "${address}"\n`,
@@ -27,7 +27,7 @@
 node_name = "${options.node ?? "node-0"}"
 domain = "north"
 serve_on = "${options.listen ?? "127.0.0.1:0"}"
-back = "${options.back ?? "127.0.0.1:0"}"
+back = "${options.peerListen ?? "127.0.0.1:0"}"
 ${peers.join("\n")}
 [services]
 cloud = "${options.cloud ?? "127.0.0.1:1"}"
@@ -37,7 +37,7 @@
 zones = ["north", "south"]
 ${options.teams ?? `[[settings.teams]]\nname = "free"\n[[settings.teams]]\nname = "capped"\ncpus = 2.0\ncpus_max = 4.0`}
 [settings.workers]
-report_s = ${options.reportS ?? 2}
+report_s = ${options.heartbeatIntervalS ?? 2}
 lease_s = ${options.leaseS ?? 10}
 cancel_s = ${options.cancelS ?? 30}
 [settings.state]
@@ -51,5 +51,5 @@
 `;
 }
 
-/** The parsed settings. */
+/** Builds and parses a settings file. */
 export const testSettings = (options: SettingsOptions = {}): Settings => parseSettings(settingsText(options));
