--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -102,14 +102,14 @@
   private retireOwner(shard: number, owned: OwnedShard, nextOwner: string | undefined): void {
     this.shards.delete(shard);
     owned.owner.retire();
-    this.dependencies.log.info({ shard, owner: nextOwner }, "shard ownership lost");
+    this.dependencies.log.info({ shard, owner: nextOwner }, "shard lost");
   }
 
   private startOwner(shard: number, token: number): void {
     const { replica, clock, log } = this.dependencies;
     this.shards.set(shard, this.makeOwnedShard(shard, token));
     const viewAgeMs = Math.round(clock() - replica.completeAsOf);
-    log.info({ shard, token, revision: replica.revision, viewAgeMs }, "shard ownership acquired");
+    log.info({ shard, token, revision: replica.revision, viewAgeMs }, "shard owned");
   }
 
   private makeOwnedShard(id: number, token: number): OwnedShard {
