--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -57,7 +57,7 @@
 
 async function checkConfig(options: GlobalOptions): Promise<void> {
   await loadSettings(options);
-  process.stdout.write("the settings are valid\n");
+  process.stdout.write("the settings are fine\n");
 }
 
 async function printLinks(options: GlobalOptions, asJson: boolean): Promise<void> {
--- a/src/placement/quota.ts
+++ b/src/placement/quota.ts
@@ -59,7 +59,7 @@
 function unreconciledUsage(machines: Iterable<Machine>, types: Map<string, MachineType>): QuotaUsage {
   const usage = { cpus: 0, gpus: 0 };
   for (const machine of machines) {
-    if (!machine.mayHaveUnreportedTasks && machine.orphanTasks.size === 0) continue;
+    if (!machine.isUnreconciled && machine.orphanTasks.size === 0) continue;
     usage.cpus += types.get(machine.record.type)?.cpus ?? Infinity;
     usage.gpus += types.get(machine.record.type)?.gpus ?? Infinity;
   }
--- a/src/shards/heartbeat-handler.ts
+++ b/src/shards/heartbeat-handler.ts
@@ -68,7 +68,7 @@
       },
     });
     if (machine.isUp && !wasUp) log.info({ host: machine.host, shard }, "machine registered with owner");
-    if (machine.followsTerm) machine.mayHaveUnreportedTasks = false;
+    if (machine.followsTerm) machine.isUnreconciled = false;
     recordResponse(machine, now);
     jobs.endedJobs.recordStops(commands, now);
     jobs.removeEndedWithoutTasks(now);
--- a/src/shards/lease-expiry.ts
+++ b/src/shards/lease-expiry.ts
@@ -39,7 +39,7 @@
    */
   private latestPossibleRenewalAt(machine: Machine): number | null {
     if (machine.lastHeartbeatAt !== null) return machine.lastHeartbeatAt;
-    return machine.mayHaveUnreportedTasks ? this.dependencies.termStartedAt : machine.firstHeartbeatAt;
+    return machine.isUnreconciled ? this.dependencies.termStartedAt : machine.firstHeartbeatAt;
   }
 
   private expireLease(machine: Machine, now: number): void {
@@ -49,7 +49,7 @@
     releaseAll(machine);
     machine.emptySince = null;
     machine.emptyHeartbeats = 0;
-    machine.mayHaveUnreportedTasks = false;
+    machine.isUnreconciled = false;
     log.info({ host: machine.host, shard, lost }, "worker lease expired");
   }
 }
--- a/src/shards/machine-table.ts
+++ b/src/shards/machine-table.ts
@@ -46,7 +46,7 @@
 
   /** Whether every task that an earlier owner may have left running has been reported or has certainly ended. */
   get isReconciled(): boolean {
-    for (const machine of this.byHost.values()) if (machine.mayHaveUnreportedTasks) return false;
+    for (const machine of this.byHost.values()) if (machine.isUnreconciled) return false;
     return true;
   }
 
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -44,7 +44,7 @@
     this.parts = createShardParts(dependencies);
     this.sync(dependencies.view, null, dependencies.termStartedAt);
     // A machine that has never reported to any owner has never been sent a start command.
-    for (const machine of this.machines.values()) machine.mayHaveUnreportedTasks = machine.record.hasReported;
+    for (const machine of this.machines.values()) machine.isUnreconciled = machine.record.hasReported;
   }
 
   /** The jobs by id. */
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -45,7 +45,7 @@
   // Scheduling: written by the shard.
 
   /** Whether an earlier owner may have started tasks on the machine that no heartbeat has reported yet. */
-  mayHaveUnreportedTasks = false;
+  isUnreconciled = false;
   /** The instant before which no task may be placed on the machine. */
   notBefore = -Infinity;
   /** Whether the machine is being transferred or drained, so that no task may be placed on it. */
