--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -1,4 +1,6 @@
-/** The shards that this process owns: an owner actor for each, from when the records name this process until they do not. */
+/**
+ * The shards that this process owns, with one owner actor each for as long as the records assign it to this process.
+ */
 import type { Settings } from "../config/settings.js";
 import type { LinkPolicy } from "../links/link-policy.js";
 import type { OwnedShardStatus } from "../links/remediation.js";
@@ -18,7 +20,7 @@
 import type { RecordChange, MachineType } from "../wire/index.js";
 import type { Fleet } from "../workers/fleet.js";
 
-/** What the host needs of the rest of the process. */
+/** Dependencies of the shard host. */
 export interface ShardHostDependencies {
   readonly settings: Settings;
   readonly timings: ShardOwnerTimings & RenewalGuardTimings;
@@ -27,7 +29,7 @@
   readonly replica: Replica;
   readonly fleet: Fleet;
   readonly membership: Membership;
-  readonly links: LinkPolicy;
+  readonly linkPolicy: LinkPolicy;
   /** The machine types in the records, by name. */
   readonly machineTypes: () => Map<string, MachineType>;
   /** Sends the summary of a shard to the leader. */
@@ -39,34 +41,34 @@
 /** A shard that this process owns. */
 interface OwnedShard {
   owner: ShardOwner;
-  /** The version of the shard's record that was last found to continue the owner's term. */
+  /** The latest version of the shard's record that is known to belong to the owner's term. */
   token: number;
 }
 
-/** Makes and retires the owners of this process's shards. */
+/** Creates and retires the owner actors of this process's shards. */
 export class ShardHost {
   private readonly shards = new Map<number, OwnedShard>();
 
   constructor(private readonly dependencies: ShardHostDependencies) {}
 
-  /** The owner of a shard, if it is in this process. */
+  /** The owner of a shard; undefined if this process does not own it. */
   ownerOf(shard: number): ShardOwner | undefined {
     return this.shards.get(shard)?.owner;
   }
 
-  /** Has all owners act on the time that has passed. */
+  /** Lets all owners handle timeouts and periodic work. */
   tick(): void {
     for (const { owner } of this.shards.values()) owner.tell({ kind: "tick" });
   }
 
-  /** Passes changed records to all owners; null means that anything may have changed. */
+  /** Passes changed records to all owners; null means that any record may have changed. */
   applyChanges(changes: RecordChange[] | null): void {
     const { completeAsOf } = this.dependencies.replica;
     for (const { owner } of this.shards.values())
       owner.tell({ kind: "records_changed", changes, completeAsOf });
   }
 
-  /** From how many workers heartbeats are expected here, by shard. */
+  /** The state of each owned shard, with the number of workers that heartbeats are expected from. */
   statuses(): OwnedShardStatus[] {
     return Array.from(this.shards, ([shard, { owner, token }]) => ({
       shard,
@@ -75,7 +77,9 @@
     }));
   }
 
-  /** Starts owners for shards that the records now assign to this process, and retires those of all others. */
+  /**
+   * Starts owners for shards that the records now assign to this process, and retires the owners of all other shards.
+   */
   reconcileOwnership(): void {
     const { cluster } = this.dependencies.membership;
     cluster.shards.forEach((record, shard) => {
@@ -136,19 +140,19 @@
   }
 
   private ownerCallbacks(shard: number, ownedShard: () => OwnedShard): ShardOwnerCallbacks {
-    const { membership, links, sendSummary } = this.dependencies;
+    const { membership, linkPolicy, sendSummary } = this.dependencies;
     return {
       authority: () => this.authorityOf(shard, ownedShard()),
       advanceToken: () => {
         membership.tell({ kind: "advance_token", shard });
       },
       sendSummary,
-      canPlaceTasks: () => links.allows("start"),
-      canRemoveMachines: () => links.allows("return"),
+      canPlaceTasks: () => linkPolicy.allows("start"),
+      canRemoveMachines: () => linkPolicy.allows("return"),
     };
   }
 
-  /** The authority over a shard; the token counts only for the owner whose term it belongs to. */
+  /** The authority over a shard, which is valid only for the owner whose term the current token belongs to. */
   private authorityOf(shard: number, owned: OwnedShard): ShardAuthority {
     const current = this.dependencies.membership.authority(shard);
     if (!current.held) return current;
