--- a/test/measure/links.ts
+++ b/test/measure/links.ts
@@ -74,30 +74,30 @@
 async function withSimulation<T>(
   seed: number,
   mode: MonitorMode,
-  run: (world: Simulation) => Promise<T>,
+  run: (simulation: Simulation) => Promise<T>,
 ): Promise<T> {
-  const world = startSimulation(seed, mode);
+  const simulation = startSimulation(seed, mode);
   try {
-    return await run(world);
+    return await run(simulation);
   } finally {
-    world.close();
+    simulation.close();
   }
 }
 
 function hasLinkInState(state: LinkState, node: SimulatedNode, link: string, direction: Direction): boolean {
-  const links = node.life?.controller.httpDependencies.linkStatus().links ?? [];
+  const links = node.instance?.controller.httpDependencies.linkStatus().links ?? [];
   return links.some((of) => of.link.startsWith(link) && of.direction === direction && of.state === state);
 }
 
 /** Returns the heartbeat intervals until a condition holds; null if it does not within `GIVE_UP_MS`. */
-async function reportIntervalsUntil(world: Simulation, met: () => boolean): Promise<number | null> {
-  const since = world.now;
-  const happened = await world.runUntil(met, GIVE_UP_MS);
-  return happened ? (world.now - since) / world.settings.workers.heartbeatIntervalMs : null;
+async function reportIntervalsUntil(simulation: Simulation, met: () => boolean): Promise<number | null> {
+  const since = simulation.now;
+  const happened = await simulation.runUntil(met, GIVE_UP_MS);
+  return happened ? (simulation.now - since) / simulation.settings.workers.heartbeatIntervalMs : null;
 }
 
-function nodeToCut(world: Simulation, link: ScheduledLink): SimulatedNode {
-  return (link === "cloud" ? world.leader() : world.ownerOf(0)) ?? world.nodes[0]!;
+function nodeToCut(simulation: Simulation, link: ScheduledLink): SimulatedNode {
+  return (link === "cloud" ? simulation.leader() : simulation.ownerOf(0)) ?? simulation.nodes[0]!;
 }
 
 async function measureReaction(
@@ -106,19 +106,19 @@
   direction: Direction,
   reaction: Reaction,
 ): Promise<void> {
-  await withSimulation(seed, "enforce", async (world) => {
+  await withSimulation(seed, "enforce", async (simulation) => {
     let isOver = false;
-    void submitRandomJobs(world, () => isOver, 1000);
-    await world.run(WARM_UP_MS);
-    const node = nodeToCut(world, link);
+    void submitRandomJobs(simulation, () => isOver, 1000);
+    await simulation.run(WARM_UP_MS);
+    const node = nodeToCut(simulation, link);
     const linkPrefix = link === "peers" ? "peer:" : link;
     node.cut[link] = direction;
-    const since = world.now;
-    const hasTakenOver = takeoverCheck(world, node, link);
+    const since = simulation.now;
+    const hasTakenOver = takeoverCheck(simulation, node, link);
     const observed: { shown: number | null; handled: number | null } = { shown: null, handled: null };
     // After a hand-over this controller has no workers left to miss, so the link may not be reported as down later.
-    await world.runUntil(() => {
-      const reports = (world.now - since) / world.settings.workers.heartbeatIntervalMs;
+    await simulation.runUntil(() => {
+      const reports = (simulation.now - since) / simulation.settings.workers.heartbeatIntervalMs;
       if (hasLinkInState("down", node, linkPrefix, direction)) observed.shown ??= reports;
       if (hasTakenOver?.()) observed.handled ??= reports;
       return hasTakenOver === null ? observed.shown !== null : observed.handled !== null;
@@ -128,16 +128,20 @@
     node.cut[link] = false;
     if (link !== "workers" && link !== "cloud")
       reaction.recovered.push(
-        await reportIntervalsUntil(world, () => hasLinkInState("up", node, linkPrefix, direction)),
+        await reportIntervalsUntil(simulation, () => hasLinkInState("up", node, linkPrefix, direction)),
       );
     isOver = true;
   });
 }
 
 /** Returns a condition that holds once another controller has taken over; null if the link calls for no take-over. */
-function takeoverCheck(world: Simulation, node: SimulatedNode, link: ScheduledLink): (() => boolean) | null {
-  if (link === "state" || link === "workers") return () => world.ownerOf(0) !== node;
-  if (link === "cloud") return () => world.leader() !== undefined && world.leader() !== node;
+function takeoverCheck(
+  simulation: Simulation,
+  node: SimulatedNode,
+  link: ScheduledLink,
+): (() => boolean) | null {
+  if (link === "state" || link === "workers") return () => simulation.ownerOf(0) !== node;
+  if (link === "cloud") return () => simulation.leader() !== undefined && simulation.leader() !== node;
   return null;
 }
 
@@ -157,10 +161,10 @@
 /** Counts transitions to down while no link is cut. */
 async function measureFalseAlarms(seeds: number): Promise<FalseAlarms[]> {
   const MINUTES = 3;
-  const overload = (world: Simulation): void => {
-    world.stateLatencyMs = 400;
-    world.answersHeldMs = 2000;
-    world.workers.duplicateShare = 0.3;
+  const overload = (simulation: Simulation): void => {
+    simulation.stateLatencyMs = 400;
+    simulation.maxResponseDelayMs = 2000;
+    simulation.workers.duplicateShare = 0.3;
   };
   const found: FalseAlarms[] = [];
   for (const [schedule, prepare] of [
@@ -169,23 +173,23 @@
   ] as const) {
     const downs: Record<string, number> = {};
     for (let seed = 1; seed <= seeds; seed++)
-      await withSimulation(seed, "enforce", async (world) => {
-        prepare(world);
-        await countDowns(world, MINUTES * 60_000, downs);
+      await withSimulation(seed, "enforce", async (simulation) => {
+        prepare(simulation);
+        await countDowns(simulation, MINUTES * 60_000, downs);
       });
     found.push({ schedule, minutes: MINUTES * seeds, downs });
   }
   return found;
 }
 
-async function countDowns(world: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
+async function countDowns(simulation: Simulation, ms: number, downs: Record<string, number>): Promise<void> {
   let isOver = false;
-  void submitRandomJobs(world, () => isOver, 1000);
+  void submitRandomJobs(simulation, () => isOver, 1000);
   let before = new Set<string>();
-  const until = world.now + ms;
-  while (world.now < until) {
-    await world.run(500);
-    const down = downDirections(world);
+  const until = simulation.now + ms;
+  while (simulation.now < until) {
+    await simulation.run(500);
+    const down = downDirections(simulation);
     for (const found of down) {
       if (before.has(found)) continue;
       const link = found.replace(/^\S+ /, "").replace(/:\S+/, "");
@@ -196,10 +200,11 @@
   isOver = true;
 }
 
-function downDirections(world: Simulation): Set<string> {
+function downDirections(simulation: Simulation): Set<string> {
   const down = new Set<string>();
-  for (const node of world.nodes)
-    for (const { link, direction, state } of node.life?.controller.httpDependencies.linkStatus().links ?? [])
+  for (const node of simulation.nodes)
+    for (const { link, direction, state } of node.instance?.controller.httpDependencies.linkStatus().links ??
+      [])
       if (state === "down") down.add(`${node.name} ${link} ${direction}`);
   return down;
 }
@@ -210,16 +215,16 @@
   for (const mode of ["off", "observe", "enforce"] as const) {
     const cost: Cost = { mode, peerQuestions: 0, stateRequests: 0, cpuMs: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await withSimulation(seed, mode, async (world) => {
+      await withSimulation(seed, mode, async (simulation) => {
         let isOver = false;
-        void submitRandomJobs(world, () => isOver, 1000);
-        await world.run(WARM_UP_MS);
-        const before = { questions: world.peerQuestions, requests: world.store.requests };
+        void submitRandomJobs(simulation, () => isOver, 1000);
+        await simulation.run(WARM_UP_MS);
+        const before = { questions: simulation.peerRequestCount, requests: simulation.store.requests };
         const cpu = process.cpuUsage();
-        await world.run(MINUTES * 60_000);
+        await simulation.run(MINUTES * 60_000);
         const used = process.cpuUsage(cpu);
-        cost.peerQuestions += (world.peerQuestions - before.questions) / MINUTES / seeds;
-        cost.stateRequests += (world.store.requests - before.requests) / MINUTES / seeds;
+        cost.peerQuestions += (simulation.peerRequestCount - before.questions) / MINUTES / seeds;
+        cost.stateRequests += (simulation.store.requests - before.requests) / MINUTES / seeds;
         cost.cpuMs += (used.user + used.system) / 1000 / MINUTES / seeds;
         isOver = true;
       });
@@ -229,12 +234,19 @@
 }
 
 /** Draws a schedule of consecutive cuts from the simulation's seeded generator, to compare the modes under cuts. */
-function randomSchedule(world: Simulation): ScheduledFault[] {
+function randomSchedule(simulation: Simulation): ScheduledFault[] {
   const faults: ScheduledFault[] = [];
   for (let i = 0; i < 6; i++) {
-    const link = (["state", "workers", "cloud"] as const)[world.pick(3)]!;
-    const cut = ([true, "inbound", "outbound"] as const)[world.pick(3)]!;
-    faults.push({ kind: "cut", at: i * 25_000, node: world.pick(CONTROLLERS), link, cut, forMs: 20_000 });
+    const link = (["state", "workers", "cloud"] as const)[simulation.randomBelow(3)]!;
+    const cut = ([true, "inbound", "outbound"] as const)[simulation.randomBelow(3)]!;
+    faults.push({
+      kind: "cut",
+      at: i * 25_000,
+      node: simulation.randomBelow(CONTROLLERS),
+      link,
+      cut,
+      forMs: 20_000,
+    });
   }
   return faults;
 }
@@ -244,17 +256,17 @@
   for (const mode of ["off", "enforce"] as const) {
     const sum: Progress = { mode, tasksDone: 0, starts: 0, shardMoves: 0, broken: 0 };
     for (let seed = 1; seed <= seeds; seed++)
-      await withSimulation(seed, mode, async (world) => {
-        await world.run(10_000);
-        world.store.onChange = (change) => {
+      await withSimulation(seed, mode, async (simulation) => {
+        await simulation.run(10_000);
+        simulation.store.onChange = (change) => {
           if ("put" in change && change.put.startsWith("fernpond/live/shards/")) sum.shardMoves++;
         };
         let isOver = false;
-        void runSchedule(world, randomSchedule(world)).then(() => (isOver = true));
-        await submitRandomJobs(world, () => isOver, 1000);
-        for (const job of world.jobs.values()) sum.tasksDone += job.completed.size;
-        sum.starts += world.cloud.startedTasks.length;
-        sum.broken += world.broken.length;
+        void runSchedule(simulation, randomSchedule(simulation)).then(() => (isOver = true));
+        await submitRandomJobs(simulation, () => isOver, 1000);
+        for (const job of simulation.jobs.values()) sum.tasksDone += job.completedTasks.size;
+        sum.starts += simulation.cloud.startedTasks.length;
+        sum.broken += simulation.violations.length;
       });
     all.push(sum);
   }
--- a/test/support/link-cuts.ts
+++ b/test/support/link-cuts.ts
@@ -3,7 +3,7 @@
 import type { Cut, Cuts, Simulation } from "./simulation.js";
 
 /** A link that a schedule can cut. */
-export type ScheduledLink = Exclude<keyof Cuts, "feed">;
+export type ScheduledLink = Exclude<keyof Cuts, "watches">;
 
 /** A fault with its start time and duration, in milliseconds of simulated time. */
 export type ScheduledFault =
@@ -16,38 +16,38 @@
  * Injects all faults of a schedule, and resolves when the last has ended and all links are restored. If cuts of one
  * link overlap, the end of the first restores the link.
  */
-export async function runSchedule(world: Simulation, schedule: ScheduledFault[]): Promise<void> {
-  await Promise.all(schedule.map((fault) => runFault(world, fault)));
-  for (const node of world.nodes)
+export async function runSchedule(simulation: Simulation, schedule: ScheduledFault[]): Promise<void> {
+  await Promise.all(schedule.map((fault) => runFault(simulation, fault)));
+  for (const node of simulation.nodes)
     for (const link of ["state", "peers", "workers", "cloud", "users"] as const) node.cut[link] = false;
 }
 
-async function runFault(world: Simulation, fault: ScheduledFault): Promise<void> {
+async function runFault(simulation: Simulation, fault: ScheduledFault): Promise<void> {
   await sleep(fault.at);
   switch (fault.kind) {
     case "cut": {
-      const { cut } = world.nodes[fault.node]!;
+      const { cut } = simulation.nodes[fault.node]!;
       cut[fault.link] = fault.cut;
       await sleep(fault.forMs);
       cut[fault.link] = false;
       return;
     }
     case "restart": {
-      const node = world.nodes[fault.node]!;
-      world.crash(node);
+      const node = simulation.nodes[fault.node]!;
+      simulation.crash(node);
       await sleep(fault.awayMs);
-      if (node.life === null) world.launch(node);
+      if (node.instance === null) simulation.startNode(node);
       return;
     }
     case "refused":
-      world.store.refused.add(fault.node);
+      simulation.store.refused.add(fault.node);
       await sleep(fault.forMs);
-      world.store.refused.delete(fault.node);
+      simulation.store.refused.delete(fault.node);
       return;
     case "outage":
-      world.store.down = true;
+      simulation.store.down = true;
       await sleep(fault.forMs);
-      world.store.down = false;
+      simulation.store.down = false;
       return;
   }
 }
--- a/test/support/workload.ts
+++ b/test/support/workload.ts
@@ -29,7 +29,7 @@
 ];
 
 function pickOne<T>(simulation: Simulation, values: readonly T[]): T {
-  return values[simulation.pick(values.length)]!;
+  return values[simulation.randomBelow(values.length)]!;
 }
 
 /** The share of the jobs whose tasks fail on every machine. */
@@ -38,7 +38,7 @@
 /** Makes all tasks of a job fail, and cancels the job after one to two minutes. */
 async function cancelAfterFailures(simulation: Simulation, job: UserJob): Promise<void> {
   (simulation.workers.faultyJobs ??= new Set()).add(job.id);
-  await sleep(60_000 + simulation.chance() * 60_000);
+  await sleep(60_000 + simulation.randomFraction() * 60_000);
   await simulation.cancel(job);
 }
 
@@ -55,16 +55,16 @@
   for (let i = 0; !isOver(); i++) {
     if (i < maxJobs) {
       const id = `req-${i}`;
-      runMsByJob.set(id, 1000 + simulation.chance() ** 2 * 30_000);
+      runMsByJob.set(id, 1000 + simulation.randomFraction() ** 2 * 30_000);
       const job = simulation.submit(id, {
-        pieces: 1 + simulation.pick(12),
+        pieces: 1 + simulation.randomBelow(12),
         crew: pickOne(simulation, ["free", "capped", "tight"]),
         vcpus: pickOne(simulation, [0.5, 1, 2, 3]),
         rank: pickOne(simulation, ["best_effort", "normal", "urgent", "critical"]),
         ...pickOne(simulation, JOB_VARIANTS),
       });
-      if (simulation.chance() < FAULTY_JOB_SHARE) void cancelAfterFailures(simulation, job);
+      if (simulation.randomFraction() < FAULTY_JOB_SHARE) void cancelAfterFailures(simulation, job);
     }
-    await simulation.run(500 + simulation.chance() * 4000);
+    await simulation.run(500 + simulation.randomFraction() * 4000);
   }
 }
