--- a/deploy/half-cut.hcl
+++ b/deploy/half-cut.hcl
@@ -1,12 +1,12 @@
-# The link monitor: which links of a controller work, and what it may do without those that do not.
+# The link monitor: tracks which links of a controller work, and restricts what it may do while some are down.
 # Used with `--operator deploy/half-cut.hcl`; docs/operating-links.md says what each state means.
 links {
   mode = "enforce"  # "observe" reports and restricts nothing; "off" is the default
 
-  down_after_reports    = 1.5   # a link is down once it has failed for so many report intervals
-  recover_after_reports = 2     # and up again once it has worked for so many
-  quiet_after_reports   = 4     # unknown after so many without traffic
-  flap_bound            = 8     # a flapping link takes up to so many times as long to be trusted again
-  probe_share           = 0.02  # of the cloud's rate, for probes by controllers that do not lead
-  move_backoff_bound    = 8     # hand-overs for the same cause wait up to so many shard periods
+  down_after_reports    = 1.5   # a link is down once it has failed for this many heartbeat intervals
+  recover_after_reports = 2     # and up again once it has worked for this many
+  quiet_after_reports   = 4     # unknown after this many without traffic
+  flap_bound            = 8     # a flapping link must work for up to this many times as long to be up again
+  probe_share           = 0.02  # the share of the cloud's call rate for probes by controllers other than the leader
+  move_backoff_bound    = 8     # the longest backoff between hand-overs for the same cause, in shard move periods
 }
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,7 +2,7 @@
 import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
 
-/** The folders of src, from the bottom up: a folder imports nothing from those behind it. */
+/** The folders of src, from the bottom up: a folder imports only from those before it. */
 const LAYERS = [
   ["wire"],
   ["runtime"],
@@ -41,22 +41,22 @@
   { selector: "typeLike", format: ["PascalCase"] },
   { selector: "variable", modifiers: ["const", "global"], format: CONSTANT },
   { selector: "classProperty", modifiers: ["static", "readonly"], format: CONSTANT },
-  // Others name what they export.
+  // Imported names are chosen by the modules that export them.
   { selector: "import", format: null },
-  // Keys of settings, stored records and messages are those of the format; other objects have a type to check.
+  // Keys of settings, stored records and messages follow their formats; the keys of other objects follow their types.
   { selector: ["objectLiteralProperty", "objectLiteralMethod"], format: null },
   { selector: ["typeProperty", "typeMethod"], modifiers: ["requiresQuotes"], format: null },
-  // The class of cli-table3, which is loaded only where it is needed.
+  // The class exported by cli-table3, which is imported dynamically.
   { selector: "variable", filter: "^Table$", format: ["PascalCase"] },
 ];
 
-/** Names that are usual at any length of scope: the counter of a loop, and `z` of zod. */
+/** One-letter names that are allowed in any scope: loop counters, `z` of zod, and unused parameters. */
 const USUAL_SHORT_NAMES = new Set(["i", "z", "_"]);
 
-/** The most lines, declaration to last use, for which one letter is enough of a name. */
+/** A one-letter name is reported if its last use is at least this many lines after its declaration. */
 const SHORT_NAME_LINES = 3;
 
-/** `id-length` knows no scopes: this rule lets a one-letter name stand where all its uses are in view. */
+/** Reports one-letter names that are used over many lines; `id-length` cannot distinguish by scope. */
 const shortNamesInShortScopes = {
   create: (context) => ({
     "Program:exit": (program) => {
@@ -75,7 +75,7 @@
   }),
 };
 
-/** `jsdoc/require-file-overview` asks for a tag: this rule asks for a plain doc comment above the imports. */
+/** Requires a doc comment above the imports, without the tag that `jsdoc/require-file-overview` requires. */
 const moduleComment = {
   create: (context) => ({
     Program: (program) => {
@@ -83,7 +83,7 @@
       const isDoc = (comment) => comment.type === "Block" && comment.value.startsWith("*");
       const head = context.sourceCode.getAllComments().find(isDoc);
       const isAbove = head !== undefined && (!first || head.range[1] <= first.range[0]);
-      // Above anything else than an import, a comment without a blank line after it documents that.
+      // Directly above a statement other than an import, a comment documents that statement, not the module.
       const isOfModule =
         first?.type === "ImportDeclaration" || first?.loc.start.line > head?.loc.end.line + 1;
       if (!isAbove || !isOfModule)
@@ -114,12 +114,12 @@
     },
     linterOptions: { reportUnusedDisableDirectives: "error" },
     rules: {
-      // Imports of types are left out of it: they are gone when the code runs.
+      // Type imports are ignored, since they do not exist at run time.
       "import-x/no-cycle": ["error", { ignoreExternal: true }],
       "@typescript-eslint/no-import-type-side-effects": "error",
       "@typescript-eslint/consistent-type-exports": "error",
       "@typescript-eslint/consistent-type-imports": "error",
-      // A default covers the rest of a union; a switch over any other type must have one.
+      // A default case covers the remaining members of a union; a switch over any other type must have one.
       "@typescript-eslint/switch-exhaustiveness-check": [
         "error",
         { considerDefaultExhaustiveForUnions: true, requireDefaultForNonUnion: true },
@@ -129,9 +129,9 @@
       "@typescript-eslint/no-unused-vars": ["error", { argsIgnorePattern: "^_" }],
       eqeqeq: "error",
       "@typescript-eslint/restrict-template-expressions": ["error", { allowNumber: true }],
-      // Every access by index may be undefined to the compiler; where a bound is known, the assertion says so.
+      // The compiler types every indexed access as possibly undefined; the assertion is used where the index is valid.
       "@typescript-eslint/no-non-null-assertion": "off",
-      // The test runner waits for its tests by itself.
+      // The test runner awaits the promises that `test` returns.
       "@typescript-eslint/no-floating-promises": [
         "error",
         { allowForKnownSafeCalls: [{ from: "package", name: ["test"], package: "node:test" }] },
@@ -146,7 +146,7 @@
     plugins: { jsdoc },
     rules: {
       "local/module-comment": "error",
-      // Tests are lists of cases and may be longer; in the program each file and function has one job.
+      // Stricter than for tests, which list many cases in one file or function.
       complexity: ["error", 13],
       "max-depth": ["error", 3],
       "max-lines": ["error", { max: 300, skipBlankLines: true, skipComments: true }],
@@ -173,7 +173,7 @@
       "@typescript-eslint/naming-convention": [
         "error",
         ...NAMES,
-        // A constant of one test stands in that test.
+        // Tests may declare upper-case constants inside functions.
         { selector: "variable", modifiers: ["const"], format: CONSTANT },
       ],
     },
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -14,7 +14,7 @@
   | { kind: "tick" }
   | { kind: "pass_done" };
 
-/** Starts reconciliation passes at the configured spacing, one at a time, while this process is the leader. */
+/** Starts reconciliation passes at the configured minimum interval, one at a time, while this process is the leader. */
 export class Autoscaler extends Actor<AutoscalerMessage> {
   private readonly reconciler: Reconciler;
   private isLeading = false;
--- a/src/autoscaling/machine-list-reader.ts
+++ b/src/autoscaling/machine-list-reader.ts
@@ -6,9 +6,9 @@
 import type { MachineSelection } from "./removal-selection.js";
 import type { ReturnedMachines } from "./returned-machines.js";
 
-/** Minimum time between the starts of two listings: the larger of these multiples of list lag and pass spacing. */
-const MIN_LIST_SPACING_LAGS = 2;
-const MIN_LIST_SPACING_PASSES = 10;
+/** Minimum time between the starts of two listings: the larger of these multiples of the list lag and of the pass interval. */
+const MIN_LIST_INTERVAL_LAGS = 2;
+const MIN_LIST_INTERVAL_PASSES = 10;
 
 /** Returned machines are remembered for this many list lags; after that, no list shows them any more. */
 const RETURNED_RETENTION_LAGS = 6;
@@ -49,7 +49,7 @@
   }
 
   /**
-   * Reads the next page of the listing in progress, or starts a new listing if the minimum spacing has passed. Does
+   * Reads the next page of the listing in progress, or starts a new listing if the minimum interval has passed. Does
    * nothing if the rate limit permits no call. Compares the list with the records when the last page has been read.
    *
    * @throws {CloudError} if the cloud returns no usable response
@@ -57,7 +57,7 @@
   async readPage(now: number): Promise<void> {
     const { cloud } = this.dependencies;
     const inProgress = this.listing.isInProgress(now);
-    if (!inProgress && now - this.lastListAt < this.listSpacingMs) return;
+    if (!inProgress && now - this.lastListAt < this.minListIntervalMs) return;
     if (!cloud.tryAcquireCall()) return;
     if (!inProgress) this.lastListAt = now;
     const page = await cloud.listMachines(this.listing.after);
@@ -72,9 +72,9 @@
     return this.dependencies.settings.cloud.listLagMs;
   }
 
-  private get listSpacingMs(): number {
+  private get minListIntervalMs(): number {
     const { passSpacingMs } = this.dependencies.operator;
-    return Math.max(MIN_LIST_SPACING_LAGS * this.listLagMs, MIN_LIST_SPACING_PASSES * passSpacingMs);
+    return Math.max(MIN_LIST_INTERVAL_LAGS * this.listLagMs, MIN_LIST_INTERVAL_PASSES * passSpacingMs);
   }
 
   private addUnregistered(machines: ListedMachine[], now: number): void {
--- a/src/autoscaling/pool-refusals.ts
+++ b/src/autoscaling/pool-refusals.ts
@@ -6,7 +6,7 @@
 const MAX_BACKOFF_BOOT_FACTOR = 4;
 
 interface Refusal {
-  /** Monotonic time until which no machines are ordered from the pool. */
+  /** Steady time, in milliseconds, until which no machines are ordered from the pool. */
   retryAt: number;
   backoffMs: number;
 }
--- a/src/autoscaling/reconciler.ts
+++ b/src/autoscaling/reconciler.ts
@@ -65,7 +65,7 @@
    * Runs one pass. Every write to the state store requires that the leader record is unchanged.
    *
    * @param leaderVersion the version of the leader record that names this process
-   * @param now monotonic time, in milliseconds
+   * @param now steady time, in milliseconds
    * @throws {CloudError} if the cloud returns no usable response
    * @throws {StateStoreError} if the state store returns no usable response
    */
--- a/src/autoscaling/returned-machines.ts
+++ b/src/autoscaling/returned-machines.ts
@@ -2,7 +2,7 @@
 
 /** The machines returned in this term that have not expired. */
 export class ReturnedMachines {
-  /** By host: the monotonic time of the return, in milliseconds. */
+  /** By host: the steady time of the return, in milliseconds. */
   private readonly returnedAt = new Map<string, number>();
 
   /** Records the return of a machine. */
--- a/src/autoscaling/summary-store.ts
+++ b/src/autoscaling/summary-store.ts
@@ -14,7 +14,7 @@
   receivedAt: number;
 }
 
-/** A version of a record, and the monotonic time at which it was first seen. */
+/** A version of a record, and the steady time at which it was first seen. */
 interface SeenVersion {
   version: number;
   seenAt: number;
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -103,7 +103,7 @@
     const { state, replica, timings } = this.parts;
     const pacing = {
       waitMs: timings.watchWaitMs,
-      spacingMs: timings.minWatchIntervalMs,
+      minIntervalMs: timings.minWatchIntervalMs,
       retryMs: timings.minWatchIntervalMs * WATCH_RETRY_INTERVALS,
     };
     const watchPrefixes = { listed: LIVE_PREFIX, watched: ROOT_PREFIX };
--- a/src/http/request-forwarder.ts
+++ b/src/http/request-forwarder.ts
@@ -1,6 +1,6 @@
 /**
  * Forwards user requests that this controller cannot answer to another controller. A node that is refused by the state
- * service, or partitioned from it, can thus still serve the users that are connected to it.
+ * store, or partitioned from it, can thus still serve the users that are connected to it.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
--- a/src/jobs/bitmap.ts
+++ b/src/jobs/bitmap.ts
@@ -1,4 +1,4 @@
-/** Sets of task numbers as bitmaps, encoded in chunks that fit the state service's limit on value sizes. */
+/** Sets of task numbers as bitmaps, encoded in chunks that fit the state store's limit on value sizes. */
 
 /** The number of task numbers in one chunk. */
 export const CHUNK_TASKS = 16_384;
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -24,7 +24,7 @@
 import { countDurablyDone } from "./progress-pages.js";
 import type { ShardAssignment } from "./shard-assignment.js";
 
-/** The state service did not answer in time, or the job's record is unreadable to this version. */
+/** The state store did not respond in time, or the job's record is unreadable to this version. */
 interface Unavailable {
   kind: "unavailable";
 }
@@ -59,11 +59,11 @@
   /** The recorded machine types by name; empty until they are known. */
   readonly machineTypes: () => Map<string, MachineType>;
   readonly shardAssignment: ShardAssignment;
-  /** Asks the shard's owner for a job's progress; null if it does not answer. */
+  /** Asks the shard's owner for a job's progress; null if it does not respond. */
   readonly taskCounts: (shard: number, job: string) => Promise<TaskProgress | null>;
   /** Notifies the owner of a job's shard that the job has been cancelled. */
   readonly notifyOwnerOfCancellation: (shard: number, job: string) => void;
-  /** How long a submission or cancellation may be queued before it is sent to the state service, in milliseconds. */
+  /** How long a submission or cancellation may be queued before it is sent to the state store, in milliseconds. */
   readonly queueTimeoutMs: number;
   readonly log: Logger;
 }
@@ -73,7 +73,7 @@
 
 const UNAVAILABLE: Unavailable = { kind: "unavailable" };
 
-/** Submits, looks up and cancels jobs in the state service; only final states are answered from memory alone. */
+/** Submits, looks up and cancels jobs in the state store; only final states are answered from memory alone. */
 export class JobService {
   /** A cache of ended jobs. It cannot be stale, since final states never change. */
   private readonly endedJobs = new LRUCache<string, EndedJobRecord>({ max: REMEMBERED_ENDED_JOBS });
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Looks up the status of a job; at least as recent as any answer that a controller has given before. */
+  /** Looks up the status of a job; at least as recent as any response that a controller has given before. */
   async lookUp(id: string): Promise<JobLookup> {
     const ended = this.endedJobs.get(id);
     if (ended !== undefined) return foundEnded(id, ended);
@@ -208,7 +208,7 @@
       return await operation();
     } catch (err) {
       if (!(err instanceof StateStoreError)) throw err;
-      this.dependencies.log.debug({ err }, "state service failed to answer user request");
+      this.dependencies.log.debug({ err }, "state store failed to serve a user request");
       return UNAVAILABLE;
     }
   }
--- a/src/jobs/progress-pages.ts
+++ b/src/jobs/progress-pages.ts
@@ -1,5 +1,5 @@
 /**
- * The records of a shard's completed tasks. Many jobs share one record, called a page, because the state service allows
+ * The records of a shard's completed tasks. Many jobs share one record, called a page, because the state store allows
  * few writes per second. Only jobs with very many tasks have records of their own.
  */
 import { keys, prefixes } from "../state/keys.js";
--- a/src/jobs/shard-assignment.ts
+++ b/src/jobs/shard-assignment.ts
@@ -3,11 +3,11 @@
 import type { Team } from "../config/settings.js";
 import type { JobSpec } from "../wire/index.js";
 
-/** The capacity and backlog of a shard, in processors. */
+/** The capacity and backlog of a shard, in CPUs. */
 export interface CpuLoad {
-  /** The processors of all its machines. */
+  /** The CPUs of all its machines. */
   capacity: number;
-  /** The processors that waiting tasks need beyond the free ones; negative if free processors are left over. */
+  /** The CPUs that waiting tasks need beyond the free ones; negative if free CPUs are left over. */
   backlog: number;
 }
 
--- a/src/links/backoff.ts
+++ b/src/links/backoff.ts
@@ -1,6 +1,6 @@
-/** Exponential back-off per key. It keeps a shard from moving back and forth for the same cause. */
+/** Exponential backoff per key. It keeps a shard from moving back and forth for the same cause. */
 
-/** Durations of a back-off, in milliseconds. */
+/** Durations of a backoff, in milliseconds. */
 export interface BackoffTimings {
   initialMs: number;
   maxMs: number;
--- a/src/links/degradation-policy.ts
+++ b/src/links/degradation-policy.ts
@@ -7,7 +7,7 @@
  */
 
 /**
- * The connections that can be lost. `state_for_all`: most peers report the state service as down too. `peers`: no peer
+ * The connections that can be lost. `state_for_all`: most peers report the state store as down too. `peers`: no peer
  * can be reached; peers count as one connection.
  */
 export const LOSSES = ["state", "state_for_all", "workers", "peers", "cloud", "users"] as const;
@@ -37,7 +37,7 @@
 /** What an activity requires before it takes effect. */
 type Proof =
   | "none"
-  /** A transaction that the state service confirmed. */
+  /** A transaction that the state store confirmed. */
   | "recorded"
   /** A read that was sent after the request arrived. */
   | "fresh_read"
--- a/src/links/direction-tracker.ts
+++ b/src/links/direction-tracker.ts
@@ -70,7 +70,7 @@
   }
 
   /** Records a response that took `latencyMs`. */
-  recordAnswer(now: number, latencyMs: number): void {
+  recordResponse(now: number, latencyMs: number): void {
     this.recordDelivery(now);
     const slowSample = latencyMs > this.timings.slowThresholdMs ? 1 : 0;
     this.slowFraction += SLOW_AVERAGE_WEIGHT * (slowSample - this.slowFraction);
--- a/src/links/heartbeat-rate.ts
+++ b/src/links/heartbeat-rate.ts
@@ -2,7 +2,7 @@
 
 /**
  * The fraction of the expected heartbeats below which the rate is too low. A worker without a response waits for its
- * time-out and tries the other controllers first, so it returns at a fraction of the normal rate.
+ * timeout and tries the other controllers first, so it returns at a fraction of the normal rate.
  */
 const SPARSE_FRACTION = 0.5;
 /** The length of the counting window, in heartbeat intervals. */
--- a/src/links/link-table.ts
+++ b/src/links/link-table.ts
@@ -66,8 +66,8 @@
     const inbound = this.tracker(link, "inbound");
     switch (observation.kind) {
       case "answered":
-        outbound?.recordAnswer(now, observation.latencyMs);
-        inbound?.recordAnswer(now, observation.latencyMs);
+        outbound?.recordResponse(now, observation.latencyMs);
+        inbound?.recordResponse(now, observation.latencyMs);
         return;
       case "refused":
         outbound?.recordFailure(now, "refused");
--- a/src/links/observed-json-client.ts
+++ b/src/links/observed-json-client.ts
@@ -5,13 +5,16 @@
 
 const HTTP_UNAVAILABLE = 503;
 
-/** A time-out that fires later than this multiple of it shows that this process was busy: a response may be waiting. */
+/**
+ * A timeout that fires after more than this multiple of its duration shows that this process was busy: a response may
+ * be waiting.
+ */
 const LATE_TIMEOUT_RATIO = 1.25;
 
 /** Whether a response means that the service refused the request. */
-export type RefusalCheck = (answer: JsonResponse) => boolean;
+export type RefusalCheck = (response: JsonResponse) => boolean;
 
-/** The state service refuses a request with status 503 and does not execute it. */
+/** The state store refuses a request with status 503 and does not execute it. */
 export const isUnavailable: RefusalCheck = ({ status }) => status === HTTP_UNAVAILABLE;
 
 /** The cloud also responds with status 503 if it has no capacity, which does not count as a refusal. */
@@ -44,10 +47,10 @@
     const { link, isRefusal, sink, clock, isLatencyMeaningful } = this.options;
     const sentAt = clock();
     try {
-      const answer = await this.client.call(method, path, body, timeoutMs);
-      if (isRefusal(answer)) sink({ kind: "refused", link });
+      const response = await this.client.call(method, path, body, timeoutMs);
+      if (isRefusal(response)) sink({ kind: "refused", link });
       else sink({ kind: "answered", link, latencyMs: isLatencyMeaningful ? clock() - sentAt : 0 });
-      return answer;
+      return response;
     } catch (err) {
       const isTimeoutLate = clock() - sentAt > LATE_TIMEOUT_RATIO * timeoutMs;
       if (err instanceof NoResponseError && !isTimeoutLate) sink({ kind: "unanswered", link });
--- a/src/links/probe-budget.ts
+++ b/src/links/probe-budget.ts
@@ -1,5 +1,5 @@
 /**
- * Limits the rate of probes of idle links. Only the cloud and peers are probed: the state service always has traffic
+ * Limits the rate of probes of idle links. Only the cloud and peers are probed: the state store always has traffic
  * because the membership lease is renewed, and workers and users send requests on their own.
  */
 import { TokenBucket } from "../runtime/token-bucket.js";
--- a/src/links/remediation-runner.ts
+++ b/src/links/remediation-runner.ts
@@ -1,4 +1,4 @@
-/** Executes remediations, with a back-off between two for the same cause. */
+/** Executes remediations, with a backoff between two for the same cause. */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { Backoff } from "./backoff.js";
@@ -7,7 +7,7 @@
 import { planRemediations, type OwnedShardStatus, type Remediation } from "./remediation.js";
 import type { LinkTimings } from "./settings.js";
 
-/** The back-off key of a resignation from leadership; the other keys are shards. */
+/** The backoff key of a resignation from leadership; the other keys are shards. */
 const RESIGNATION = "leadership";
 
 /** What the runner requires of the rest of the process. */
--- a/src/links/remediation.ts
+++ b/src/links/remediation.ts
@@ -32,7 +32,7 @@
 
 /** Returns the actions to take now. */
 export function planRemediations(input: RemediationInput): Remediation[] {
-  // A hand-over and a resignation each need a write to the state service.
+  // A hand-over and a resignation each need a write to the state store.
   if (input.diagnosis("state", "outbound").state === "down") return [];
   return [...planHandOvers(input), ...planResignation(input)];
 }
@@ -55,7 +55,7 @@
 }
 
 /**
- * Returns the peer that most of the shard's workers send heartbeats to, among the peers that reach the state service
+ * Returns the peer that most of the shard's workers send heartbeats to, among the peers that reach the state store
  * and have not lost their own workers; null if there is none, so that the shard stays.
  */
 function bestSuccessor(peers: LinkView[], owned: OwnedShardStatus): string | null {
--- a/src/links/settings.ts
+++ b/src/links/settings.ts
@@ -20,9 +20,9 @@
     quiet_after_reports: intervalCountSchema.min(1).default(4),
     /** Each failure soon after a recovery doubles the recovery time, up to this multiple of it. */
     flap_bound: z.int().min(1).max(64).default(8),
-    /** The share of the state service's and the cloud's request rates that probes of idle links may use. */
+    /** The share of the state store's and the cloud's request rates that probes of idle links may use. */
     probe_share: z.number().positive().max(0.25).default(0.02),
-    /** Each further move for the same cause doubles the back-off, up to this number of shard move periods. */
+    /** Each further move for the same cause doubles the backoff, up to this number of shard move periods. */
     move_backoff_bound: z.int().min(1).max(64).default(8),
   })
   .prefault({});
@@ -34,7 +34,7 @@
 export interface LinkTimingInputs {
   heartbeatIntervalMs: number;
   leaseMs: number;
-  /** The time-out of a call to the state service. */
+  /** The timeout of a call to the state store. */
   callTimeoutMs: number;
   tickMs: number;
   shardMovePeriodMs: number;
@@ -67,7 +67,7 @@
   maxMoveBackoffMs: number;
 }
 
-/** A response that takes more than this fraction of the call's time-out counts as slow. */
+/** A response that takes more than this fraction of the call's timeout counts as slow. */
 const SLOW_TIMEOUT_FRACTION = 0.5;
 /** In heartbeat intervals. Workers report at most 1.25 intervals apart, so this leaves a margin. */
 const SILENCE_HEARTBEAT_INTERVALS = 1.5;
--- a/src/membership/membership-lease.ts
+++ b/src/membership/membership-lease.ts
@@ -36,7 +36,7 @@
 /** Acquires and renews the membership lease of this process. */
 export class MembershipLease {
   private leaseId: number | null = null;
-  /** Monotonic time until which the lease is guaranteed to be valid. */
+  /** Steady time, in milliseconds, until which the lease is guaranteed to be valid. */
   private validUntil = -Infinity;
   /** The revision at which this process last joined: an older replica does not show which shards it owns. */
   private joinedAtRevision = Infinity;
--- a/src/membership/token-advances.ts
+++ b/src/membership/token-advances.ts
@@ -16,7 +16,7 @@
  * version. A process that was disconnected for a while may own the shard again without having seen that another
  * controller owned it in between; keeping its state could then run a task twice (the violation `ran_twice`). The state
  * is kept only if the version is unchanged, or if the current one was written by the owner's own advance on
- * `knownVersion`. The advance is recognised by its id, since the watch may show it before the write is answered, or the
+ * `knownVersion`. The advance is recognised by its id, since the watch may show it before the response arrives, or the
  * response may be lost.
  */
 export function continuesTerm(
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -47,10 +47,10 @@
   machinesUp: number;
   /** Machines that are up and run no task. */
   emptyMachines: number;
-  /** Processors of all machines that are up. */
+  /** CPUs of all machines that are up. */
   cpus: number;
   usedCpus: number;
-  /** Processors required by waiting tasks. */
+  /** CPUs required by waiting tasks. */
   waitingCpus: number;
 }
 
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -124,14 +124,14 @@
 
 /** Caches the decision per victim: it does not depend on the waiting task, so one computation a round is enough. */
 function memoizePerVictim(decide: (victim: Placement) => boolean): (victim: Placement) => boolean {
-  const answers = new Map<Placement, boolean>();
+  const decisions = new Map<Placement, boolean>();
   return (victim) => {
-    let answer = answers.get(victim);
-    if (answer === undefined) {
-      answer = decide(victim);
-      answers.set(victim, answer);
+    let decision = decisions.get(victim);
+    if (decision === undefined) {
+      decision = decide(victim);
+      decisions.set(victim, decision);
     }
-    return answer;
+    return decision;
   };
 }
 
--- a/src/placement/victim-search.ts
+++ b/src/placement/victim-search.ts
@@ -31,7 +31,7 @@
 export interface PreemptionChoice {
   capacity: PreemptableCapacity;
   victims: Placement[];
-  /** The lost processor time in CPU seconds. */
+  /** The lost work in CPU seconds. */
   cost: number;
 }
 
@@ -92,7 +92,7 @@
 }
 
 /**
- * The CPU seconds lost by a preemption: those of the save if the task has checkpoints, else those of its run so far.
+ * The CPU seconds lost by a preemption: those of saving if the task has checkpoints, else those of its run so far.
  * One second is counted for a task that is not running.
  */
 function preemptionCost(victim: Placement, now: number): number {
--- a/src/shards/completion-writer.ts
+++ b/src/shards/completion-writer.ts
@@ -28,7 +28,7 @@
  * since users wait for them. Progress is written at longer intervals; workers keep the results until it is durable.
  */
 export class CompletionWriter {
-  private writePending = false;
+  private isWritePending = false;
   private lastWriteAt = -Infinity;
   private lastProgressAt = -Infinity;
 
@@ -39,7 +39,7 @@
     const { shard, term, state, clock, minWriteIntervalMs, minProgressIntervalMs } = this.dependencies;
     const token = term.currentToken();
     const now = clock();
-    if (this.writePending || token === null || now - this.lastWriteAt < minWriteIntervalMs) return;
+    if (this.isWritePending || token === null || now - this.lastWriteAt < minWriteIntervalMs) return;
     const finished = shard.finishedJobs(state.maxTransactionWrites);
     if (finished.length > 0) {
       this.startWrite(token, finished, "result", now);
@@ -54,12 +54,12 @@
 
   /** Handles the end of the last write: starts the next one if it is due. */
   writeEnded(): void {
-    this.writePending = false;
+    this.isWritePending = false;
     this.write();
   }
 
   private startWrite(token: number, completions: Completion[], priority: WritePriority, now: number): void {
-    this.writePending = true;
+    this.isWritePending = true;
     this.lastWriteAt = now;
     void this.commit(token, completions, priority);
   }
--- a/src/shards/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -8,7 +8,7 @@
   job: Job;
   /** Earliest time at which its end can have been confirmed: steady time in milliseconds. */
   earliestEndAt: number;
-  stopSent: boolean;
+  isStopSent: boolean;
 }
 
 /** Tracks the ended jobs of one shard until none of their tasks is left. */
@@ -26,7 +26,7 @@
    * confirmed, steady time in milliseconds.
    */
   add(job: Job, earliestEndAt: number): void {
-    this.pending.set(job.spec.id, { job, earliestEndAt, stopSent: false });
+    this.pending.set(job.spec.id, { job, earliestEndAt, isStopSent: false });
     this.log.info(
       { shard: this.shard, job: job.spec.id, tasks: job.activeAttempts.size },
       "ended job has tasks on machines",
@@ -38,8 +38,8 @@
     if (this.pending.size === 0) return;
     for (const { op, job } of commands) {
       const ended = op === "stop" ? this.pending.get(job) : undefined;
-      if (ended === undefined || ended.stopSent) continue;
-      ended.stopSent = true;
+      if (ended === undefined || ended.isStopSent) continue;
+      ended.isStopSent = true;
       this.metrics.recordStopSent(now - ended.earliestEndAt);
     }
   }
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -7,7 +7,7 @@
 /** A job counts as faulty once it has failed on this many machines. */
 const MIN_MACHINES_FOR_FAULTY_JOB = 3;
 
-/** Longest back-off of a faulty job, as a fraction of the maximum wait of a job while capacity is free. */
+/** Longest backoff of a faulty job, as a fraction of the maximum wait of a job while capacity is free. */
 const MAX_BACKOFF_FRACTION = 2 / 3;
 const MAX_BACKOFF_MS = MAX_BACKOFF_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
 
@@ -18,7 +18,7 @@
 const MIN_JOBS_FOR_FAULTY_MACHINE = 2;
 
 /**
- * Tracks failures per job and machine, quarantines faulty machines, and retries faulty jobs with exponential back-off.
+ * Tracks failures per job and machine, quarantines faulty machines, and retries faulty jobs with exponential backoff.
  */
 export class FailureTracker {
   constructor(
@@ -30,7 +30,7 @@
   /** Records a successful task: neither its job nor its machine is faulty. */
   recordSuccess(job: Job, machine: Machine): void {
     machine.failedJobs.clear();
-    job.backOffCount = 0;
+    job.backoffCount = 0;
     job.isSuspectedFaulty = false;
   }
 
@@ -50,19 +50,19 @@
   }
 
   /**
-   * Delays the next attempt of a job that fails wherever it runs, and clears its machines of suspicion. The exponential
-   * back-off stays within the maximum wait of a job while capacity is free, since the machines may have been at fault
+   * Delays the next attempt of a job that fails wherever it runs, and no longer counts its failures against its machines. The exponential
+   * backoff stays within the maximum wait of a job while capacity is free, since the machines may have been at fault
    * after all.
    */
   private backOff(job: Job, now: number): void {
     for (const host of job.lastFailedAtByHost.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
     job.lastFailedAtByHost.clear();
     job.isSuspectedFaulty = true;
-    job.notBefore = now + Math.min(2 ** job.backOffCount * this.leaseMs, MAX_BACKOFF_MS);
-    job.backOffCount++;
+    job.notBefore = now + Math.min(2 ** job.backoffCount * this.leaseMs, MAX_BACKOFF_MS);
+    job.backoffCount++;
     this.log.info(
-      { job: job.spec.id, failures: job.backOffCount },
-      "job fails on several machines; retrying with back-off",
+      { job: job.spec.id, failures: job.backoffCount },
+      "job fails on several machines; retrying with backoff",
     );
   }
 
--- a/src/shards/job-table.ts
+++ b/src/shards/job-table.ts
@@ -58,7 +58,7 @@
     if (this.byId.get(id)?.version === change.version || this.confirmedCancellations.has(id)) return;
     const record = readJob(change.value);
     if (record === null) {
-      this.log.error({ key: change.key }, "unreadable job record");
+      this.log.error({ key: change.key }, "unreadable job record; keeping the last known state");
       return;
     }
     // The job may have been migrated to another shard.
--- a/src/shards/machine-recorder.ts
+++ b/src/shards/machine-recorder.ts
@@ -1,4 +1,4 @@
-/** Records which machines of a shard have reported, before any task is placed on them. */
+/** Records which machines of a shard have sent a heartbeat, before any task is placed on them. */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import { keys } from "../state/keys.js";
@@ -21,25 +21,25 @@
   readonly log: Logger;
 }
 
-/** Updates the records of machines that have reported, one write at a time. */
+/** Updates the records of machines that have sent a heartbeat, one write at a time. */
 export class MachineRecorder {
-  private writePending = false;
+  private isWritePending = false;
   private lastAttemptAt = -Infinity;
 
   constructor(private readonly dependencies: MachineRecorderDependencies) {}
 
-  /** Starts a write if machines have reported whose records do not show it yet, and no write is in progress. */
+  /** Starts a write if machines whose records do not show it yet have sent a heartbeat, and no write is in progress. */
   record(): void {
     const { shard, term, fleet, state, clock, minWriteIntervalMs } = this.dependencies;
     const token = term.currentToken();
     const now = clock();
-    if (this.writePending || token === null || now - this.lastAttemptAt < minWriteIntervalMs) return;
+    if (this.isWritePending || token === null || now - this.lastAttemptAt < minWriteIntervalMs) return;
     this.lastAttemptAt = now;
     const hosts = shard.unrecordedHosts();
     if (hosts.length === 0) return;
     const { conditions, writes } = fleet.changeStage(hosts, "up", state.maxTransactionWrites);
     if (writes.length === 0) return;
-    this.writePending = true;
+    this.isWritePending = true;
     state
       .compareAndSwap([{ key: keys.shard(shard.id), version: token }, ...conditions], writes, "background")
       .catch((err: unknown) => {
@@ -50,6 +50,6 @@
 
   /** Marks the last write as ended, so that the next one can start. */
   writeEnded(): void {
-    this.writePending = false;
+    this.isWritePending = false;
   }
 }
--- a/src/shards/machine-removal.ts
+++ b/src/shards/machine-removal.ts
@@ -35,7 +35,7 @@
 
   /**
    * Records the removal of the requested machines that may be removed, and replies with the hosts whose records have
-   * surely changed. The removal is durable before anyone acts on it, because a later owner of the shard must not place
+   * certainly changed. The removal is durable before anyone acts on it, because a later owner of the shard must not place
    * tasks on these machines either.
    */
   async remove(request: RemovalRequest, reply: (hosts: string[]) => void): Promise<void> {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Commits the change and returns whether it is surely durable. An unknown outcome is resolved in the background. */
+  /** Commits the change and returns whether it is certainly durable. An unknown outcome is resolved in the background. */
   private async commit(token: number, { conditions, writes, hosts }: FleetChange): Promise<boolean> {
     const { shard, state, log } = this.dependencies;
     const ownership = { key: keys.shard(shard.id), version: token };
--- a/src/shards/machine-table.ts
+++ b/src/shards/machine-table.ts
@@ -55,7 +55,7 @@
     const group = value === undefined ? null : readMachineGroup(value);
     // An unreadable record proves nothing: the placements on its machines still count.
     if (group === null && value !== undefined) {
-      this.dependencies.log.error({ key }, "unreadable machine record");
+      this.dependencies.log.error({ key }, "unreadable machine group record; keeping the last known state");
       return;
     }
     const formerHosts = this.hostsByGroup.get(key);
@@ -110,7 +110,7 @@
   }
 
   /**
-   * Removes a machine. Its record is removed only after the cloud has answered its return with 200, or when the machine
+   * Removes a machine. Its record is removed only after the cloud has responded to its return with 200, or when the machine
    * is transferred while empty.
    */
   private remove(host: string, now: number): void {
--- a/src/shards/migration-preparation.ts
+++ b/src/shards/migration-preparation.ts
@@ -27,7 +27,7 @@
   return { job, terms };
 }
 
-/** Undoes `beginMigration` for a job that has surely not been migrated. */
+/** Undoes `beginMigration` for a job that has certainly not been migrated. */
 export function cancelMigration(job: Job, reservations: QuotaReservations): void {
   job.isMigrating = false;
   reservations.release(job.spec.id);
--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -18,7 +18,7 @@
 import type { QuotaReservations } from "./quota-reservations.js";
 import type { SpeedTracker } from "./speed-tracker.js";
 
-/** A shard has spare capacity if more than this fraction of its processors is free. */
+/** A shard has spare capacity if more than this fraction of its CPUs is free. */
 const SPARE_CAPACITY_FRACTION = 1 / 8;
 
 /** The state, settings and collaborators that placement in one shard depends on. */
@@ -43,7 +43,7 @@
   /** The waiting jobs, in the order that the last full round determined. */
   private queue: QueueEntry[] = [];
   /** The id of the job at which the last full round ran out of time; null if the round was complete. */
-  private resumeAtJob: string | null = null;
+  private resumeAtJobId: string | null = null;
   private hasSpareCapacity = false;
   private starvationReservations = new Map<Machine, Job>();
   private readonly imageHolders = new ImageHolders();
@@ -53,29 +53,29 @@
   /**
    * Whether a heartbeat should trigger a full round: jobs were added since the last round, or there is spare capacity.
    * With spare capacity, tasks are packed onto the fullest machines so that the others become empty and can be returned
-   * to the cloud; placing on whichever machine reports next would defeat that.
+   * to the cloud; placing on whichever machine sends the next heartbeat would defeat that.
    */
   get needsFullRound(): boolean {
     return this.dependencies.jobs.hasNewJobs || this.hasSpareCapacity;
   }
 
   /**
-   * Runs a full round over all machines of the shard, until steady time `deadline` at the latest. Returns the number of
+   * Runs a full round over all machines of the shard, until steady time `deadlineAt` at the latest. Returns the number of
    * tasks placed.
    */
-  place(token: number, now: number, clock: SteadyClock, deadline: number): number {
+  place(token: number, now: number, clock: SteadyClock, deadlineAt: number): number {
     this.dependencies.jobs.hasNewJobs = false;
     // Most rounds have nothing to place, and must not pay for a pass over every machine of a large shard.
     const input = this.hasWaitingTasks() ? this.placementInput(now) : null;
     this.queue = input === null ? [] : buildQueue(input);
     if (input === null || this.queue.length === 0) {
       this.starvationReservations = new Map();
-      this.resumeAtJob = null;
+      this.resumeAtJobId = null;
       return 0;
     }
     this.imageHolders.recount(this.dependencies.machines.byHost.values());
-    const round = placeRound(input, this.queue, clock, deadline);
-    this.resumeAtJob = round.resumeAtJobId;
+    const round = placeRound(input, this.queue, clock, deadlineAt);
+    this.resumeAtJobId = round.resumeAtJobId;
     const started = this.applyRound(round, token, now);
     const load = measureLoad(input);
     this.hasSpareCapacity = load.cpus - load.usedCpus > SPARE_CAPACITY_FRACTION * load.cpus;
@@ -120,7 +120,7 @@
       recovered: machines.isReconciled,
       termToken,
       reservedQuota: quotaReservations.usage,
-      resumeAtJobId: this.resumeAtJob,
+      resumeAtJobId: this.resumeAtJobId,
       starvationReservations: this.starvationReservations,
       preemptionReservations: this.preemptionReservations.active(now),
     };
--- a/src/shards/quota-reservations.ts
+++ b/src/shards/quota-reservations.ts
@@ -11,7 +11,7 @@
 /**
  * The quota reserved for migrated jobs, by job and in total. Only one shard enforces the quota of a team, because two
  * owners that each estimated the remaining quota could exceed it together. That shard counts everything that a migrated
- * job may use in another shard, from before its migration until its last task has surely ended.
+ * job may use in another shard, from before its migration until its last task has certainly ended.
  */
 export class QuotaReservations {
   private readonly held = new Map<string, HeldReservation>();
@@ -55,7 +55,7 @@
     if (held) held.endedAt ??= now;
   }
 
-  /** Drops the reservations of jobs whose last task has surely ended by steady time `now`; returns the jobs' ids. */
+  /** Drops the reservations of jobs whose last task has certainly ended by steady time `now`; returns the jobs' ids. */
   expire(now: number): string[] {
     const expired = [...this.held]
       .filter(([, { endedAt }]) => endedAt !== null && now - endedAt > this.taskExpiryMs)
--- a/src/shards/removal-candidates.ts
+++ b/src/shards/removal-candidates.ts
@@ -8,7 +8,7 @@
 const MIN_EMPTY_HEARTBEATS = 2;
 
 /**
- * Returns those of the hosts that may be removed, and sets `removalPending` on them: nothing is placed on them until
+ * Returns those of the hosts that may be removed, and sets `isRemovalPending` on them: nothing is placed on them until
  * `cancelRemoval` clears it.
  */
 export function beginRemoval(
--- a/src/shards/round-throttle.ts
+++ b/src/shards/round-throttle.ts
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Places tasks after a heartbeat: in a full round if one is needed and due, otherwise on the machine that reported.
+   * Places tasks after a heartbeat: in a full round if one is needed and due, otherwise on the machine that sent it.
    * Returns whether tasks were placed.
    */
   placeAfterHeartbeat(host: string, token: number, now: number): boolean {
@@ -40,8 +40,8 @@
   /** Runs a full placement round. Returns whether tasks were placed. */
   place(token: number): boolean {
     const startedAt = this.clock();
-    const deadline = startedAt + this.timings.roundBudgetMs;
-    const placed = this.shard.place(token, startedAt, this.clock, deadline) > 0;
+    const deadlineAt = startedAt + this.timings.roundBudgetMs;
+    const placed = this.shard.place(token, startedAt, this.clock, deadlineAt) > 0;
     const endedAt = this.clock();
     // In a large shard a full round at every heartbeat would leave little time for anything else.
     this.nextRoundAt = endedAt + (endedAt - startedAt) / ROUND_TIME_FRACTION;
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Searches for tasks to preempt, at most once every `minPreemptionIntervalMs`, so that the tasks chosen by one search have
-   * time to stop before the next one.
+   * Searches for tasks to preempt, at most once every `minPreemptionIntervalMs`, so that the tasks chosen by one search
+   * have time to stop before the next one.
    */
   preempt(now: number): void {
     if (now - this.lastPreemptionAt < this.timings.minPreemptionIntervalMs) return;
--- a/src/shards/shard-owner-messages.ts
+++ b/src/shards/shard-owner-messages.ts
@@ -31,7 +31,7 @@
   | { kind: "tick" }
   /** A write of completed tasks has succeeded or failed. */
   | { kind: "completions_written" }
-  /** A write that records which machines have reported has succeeded or failed. */
+  /** A write that records which machines have sent a heartbeat has succeeded or failed. */
   | { kind: "machines_recorded" }
   | { kind: "task_counts"; job: string; reply: (counts: TaskCounts) => void }
   | { kind: "drain_machines"; hosts: string[]; reply: (hosts: string[]) => void }
--- a/src/shards/shard-owner.ts
+++ b/src/shards/shard-owner.ts
@@ -98,7 +98,7 @@
     this.term.end();
   }
 
-  /** Whether no worker has reported here for longer than the time between two heartbeats of any worker. */
+  /** Whether no worker has sent a heartbeat here for longer than the time between two heartbeats of any worker. */
   get isCutOffFromWorkers(): boolean {
     return this.ticksSinceHeartbeat > this.timings.maxTicksWithoutHeartbeat;
   }
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -43,7 +43,7 @@
     this.id = dependencies.shard;
     this.parts = createShardParts(dependencies);
     this.sync(dependencies.view, null, dependencies.termStartedAt);
-    // A machine that has never reported to any owner has never been sent a start command.
+    // A machine that has never sent a heartbeat to any owner has never been sent a start command.
     for (const machine of this.machines.values()) machine.isUnreconciled = machine.record.hasReported;
   }
 
@@ -92,7 +92,7 @@
     this.parts.jobs.cancelJob(id, now);
   }
 
-  /** Applies a heartbeat and returns the commands for the response; null for a heartbeat that must not be answered. */
+  /** Applies a heartbeat and returns the commands for the response; null for a heartbeat that is not reconciled. */
   reconcileHeartbeat(heartbeat: Heartbeat, now: number): WorkerCommand[] | null {
     return this.parts.heartbeats.reconcile(heartbeat, now);
   }
@@ -113,12 +113,12 @@
     return this.parts.scheduler.needsFullRound;
   }
 
-  /** Runs a full placement round until `deadline`; start commands go out with the next responses to the machines. */
-  place(token: number, now: number, clock: SteadyClock, deadline: number): number {
-    return this.parts.scheduler.place(token, now, clock, deadline);
+  /** Runs a full placement round until `deadlineAt`; start commands go out with the next responses to the machines. */
+  place(token: number, now: number, clock: SteadyClock, deadlineAt: number): number {
+    return this.parts.scheduler.place(token, now, clock, deadlineAt);
   }
 
-  /** Places waiting jobs on the free capacity of a machine that has just reported. */
+  /** Places waiting jobs on the free capacity of a machine that has just sent a heartbeat. */
   placeOnMachine(host: string, token: number, now: number): number {
     return this.parts.scheduler.placeOnMachine(host, token, now);
   }
@@ -139,8 +139,8 @@
   }
 
   /** Preempts less urgent tasks where that frees capacity for more urgent ones in time. */
-  preempt(now: number, clock: SteadyClock, deadline: number): void {
-    this.parts.eviction.preempt(this.parts.scheduler.placementInput(now), clock, deadline);
+  preempt(now: number, clock: SteadyClock, deadlineAt: number): void {
+    this.parts.eviction.preempt(this.parts.scheduler.placementInput(now), clock, deadlineAt);
   }
 
   /** Stops tasks that can save a checkpoint before the cloud takes their machine. */
@@ -193,7 +193,7 @@
     return job === undefined ? null : beginMigration(job, input, this.parts.quotaReservations);
   }
 
-  /** Cancels a migration that certainly was not committed. */
+  /** Cancels a migration that was certainly not committed. */
   cancelMigration(job: Job): void {
     cancelMigration(job, this.parts.quotaReservations);
   }
--- a/src/shards/task-eviction.ts
+++ b/src/shards/task-eviction.ts
@@ -10,7 +10,7 @@
 /** For how many heartbeat intervals, beyond the saving time, a machine is reserved for the job that preempted there. */
 const PREEMPTION_RESERVATION_HEARTBEATS = 3;
 
-/** How many heartbeats it takes to send a stop to a worker and to see in a report that the task has stopped. */
+/** How many heartbeats it takes to send a stop to a worker and to see in a heartbeat that the task has stopped. */
 const STOP_HEARTBEATS = 3;
 
 /** The cloud may interrupt a machine after only this fraction of the time that its interruption notice states. */
@@ -31,12 +31,12 @@
 
   /**
    * Preempts less urgent tasks where that frees capacity for more urgent ones in time, and reserves the machines for
-   * them. The search ends at steady time `deadline` at the latest.
+   * them. The search ends at steady time `deadlineAt` at the latest.
    */
-  preempt(input: PlacementInput, clock: SteadyClock, deadline: number): void {
+  preempt(input: PlacementInput, clock: SteadyClock, deadlineAt: number): void {
     const { shard, reservations, heartbeatIntervalMs, log } = this.dependencies;
     const preemptionInput = { ...input, heartbeatIntervalMs };
-    const { victims, reservations: reserved } = choosePreemptions(preemptionInput, clock, deadline);
+    const { victims, reservations: reserved } = choosePreemptions(preemptionInput, clock, deadlineAt);
     let longestGraceMs = 0;
     for (const victim of victims) {
       const graceS = victim.job.spec.checkpointS > 0 ? victim.job.spec.saveS : 0;
--- a/src/state/replica.ts
+++ b/src/state/replica.ts
@@ -8,7 +8,7 @@
 export interface ReplicaView {
   /** The state store revision that the replica has reached; 0 before the first listing. */
   readonly revision: number;
-  /** Monotonic time: this view contains everything durable by then; -Infinity before the first listing. */
+  /** Steady time in milliseconds: this view contains everything durable by then; -Infinity before the first listing. */
   readonly completeAsOf: number;
   get(key: string): RecordEntry | undefined;
   /** All entries under a prefix of `keys.ts`, in no particular order. */
--- a/src/state/state-store-connection.ts
+++ b/src/state/state-store-connection.ts
@@ -55,7 +55,7 @@
    */
   async call(request: StateStoreRequest): Promise<JsonResponse> {
     const { clock, timeoutMs } = this.options;
-    const deadline = clock() + timeoutMs;
+    const deadlineAt = clock() + timeoutMs;
     if (!(await this.requestRate.acquire(1, "request", timeoutMs)))
       throw new StateStoreError("request rate limit: queue timeout", { outcome: "rejected" });
     for (let backoffMs = timeoutMs * FIRST_BACKOFF_FRACTION; ; backoffMs *= 2) {
@@ -64,7 +64,7 @@
       } catch (err) {
         // A request that got 429 was not executed: a retry is safe and usually succeeds.
         const canRetry = err instanceof StateStoreError && err.status === TOO_MANY_REQUESTS;
-        if (!canRetry || clock() + backoffMs > deadline) throw err;
+        if (!canRetry || clock() + backoffMs > deadlineAt) throw err;
         await sleep(jittered(backoffMs));
       }
     }
--- a/src/state/watch.ts
+++ b/src/state/watch.ts
@@ -10,7 +10,7 @@
 export type WatchEvent = {
   /** The state store revision after the event. */
   revision: number;
-  /** Monotonic time, in milliseconds: all changes durable by then are contained in this and earlier events. */
+  /** Steady time, in milliseconds: all changes durable by then are contained in this and earlier events. */
   completeAsOf: number;
 } & ({ kind: "reset"; entries: RecordEntry[] } | { kind: "changes"; changes: RecordChange[] });
 
@@ -22,7 +22,7 @@
    * The minimum time between the starts of two watches, so that a busy state store is read in batches and within the
    * rate limit.
    */
-  spacingMs: number;
+  minIntervalMs: number;
   /** The mean delay after a failed call; it is jittered. */
   retryMs: number;
 }
@@ -64,7 +64,7 @@
         }
         since = Math.max(since, batch.revision);
         yield { kind: "changes", changes: batch.changes, revision: since, completeAsOf };
-        const pauseMs = pacing.spacingMs - (clock() - completeAsOf);
+        const pauseMs = pacing.minIntervalMs - (clock() - completeAsOf);
         if (pauseMs > 0) await sleep(pauseMs);
       } catch (err) {
         log.debug({ err }, "watch failed");
--- a/src/workers/fleet.ts
+++ b/src/workers/fleet.ts
@@ -66,7 +66,7 @@
     const group = readMachineGroup(change.value);
     // An unreadable record proves nothing about its machines, so their last known state is kept.
     if (group === null) {
-      this.log.error({ key: change.key }, "cannot parse machine group record; keeping last known state");
+      this.log.error({ key: change.key }, "unreadable machine group record; keeping the last known state");
       return;
     }
     this.dropGroup(change.key);
--- a/src/workers/heartbeat-reconciliation.ts
+++ b/src/workers/heartbeat-reconciliation.ts
@@ -70,8 +70,8 @@
  * Also guards against a machine whose heartbeats arrive while responses to it are lost. A newer heartbeat without a
  * token of this term proves that the worker received no earlier response of this term. The tasks that ran there when
  * the term began therefore outlive one lease only if the worker receives the response to this heartbeat, and only if
- * the heartbeat was sent within that lease; the worker drops a response that exceeds its time-out. Heartbeats after a
- * lease plus the time-out no longer extend the lease: it expires however many arrive, and delays neither the shard nor
+ * the heartbeat was sent within that lease; the worker drops a response that exceeds its timeout. Heartbeats after a
+ * lease plus the timeout no longer extend the lease: it expires however many arrive, and delays neither the shard nor
  * a job.
  */
 function reconcileOtherTerm(
--- a/src/workers/job.ts
+++ b/src/workers/job.ts
@@ -39,15 +39,15 @@
   readonly lastFailedAtByHost = new Map<string, number>();
   /** Set once it has failed on several machines, until a task succeeds: only one of its tasks runs at a time. */
   isSuspectedFaulty = false;
-  /** The number of back-offs so far; each follows failures on several machines. */
-  backOffCount = 0;
+  /** The number of backoffs so far; each follows failures on several machines. */
+  backoffCount = 0;
 
   /** The tasks that ran from start to end under this owner, and their total run time; written by the speed tracker. */
   readonly completedRuns = { count: 0, totalMs: 0 };
 
   constructor(
     readonly spec: JobSpec,
-    /** Time of day in milliseconds. */
+    /** Wall-clock time in milliseconds. */
     readonly acceptedAt: number,
     /** The version of the job's record; distinguishes jobs accepted in this owner's term from older ones. */
     readonly version: number,
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -14,7 +14,7 @@
   type: z.string(),
   zone: z.string(),
   spot: z.boolean(),
-  /** When the machines were ordered, or first seen: time of day in milliseconds. */
+  /** When the machines were ordered, or first seen: wall-clock time in milliseconds. */
   since: z.number(),
   machines: z.record(z.string(), stage),
 });
--- a/src/workers/resources.ts
+++ b/src/workers/resources.ts
@@ -1,6 +1,6 @@
 /** Resources of tasks and machines, and their addition and subtraction. */
 
-/** Processors, graphics processors and memory. */
+/** CPUs, GPUs and memory. */
 export interface Resources {
   cpus: number;
   gpus: number;
--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -113,7 +113,7 @@
   assert.ok(sentViews <= 60_000 / (HEARTBEAT_INTERVAL_MS / 2), `${sentViews} views a minute`);
 });
 
-// Guards against a monitor in observe mode that applies the hand-over back-off or excludes peers from shards.
+// Guards against a monitor in observe mode that applies the hand-over backoff or excludes peers from shards.
 test("a monitor in observe mode restricts nothing but reports lost connections", () => {
   const { monitor, tick } = createMonitor(10, "observe");
   for (let i = 0; i < 20; i++) {
@@ -122,7 +122,7 @@
   }
   assert.deepEqual(monitor.status().lost, ["state"]);
   for (const activity of ACTIVITIES) assert.ok(monitor.allows(activity) && !monitor.refuses(activity));
-  for (let i = 0; i < 3; i++) assert.ok(monitor.tryHandOver(0), "hand-overs have no back-off");
+  for (let i = 0; i < 3; i++) assert.ok(monitor.tryHandOver(0), "hand-overs have no backoff");
   const workers = { link: "workers", direction: "inbound" as const, state: "down" as const };
   const view = {
     version: VIEW_VERSION,
--- a/test/links-properties.test.ts
+++ b/test/links-properties.test.ts
@@ -234,7 +234,7 @@
   fc.assert(fc.property(fc.array(view, { maxLength: 30 }), holds), RUNS);
 });
 
-test("the back-off doubles with each attempt for the same key, up to its maximum", () => {
+test("the backoff doubles with each attempt for the same key, up to its maximum", () => {
   const backoff = new Backoff<number>({ initialMs: 30_000, maxMs: 240_000 });
   const attemptTimes: number[] = [];
   for (let now = 0; now < 2_000_000; now += 1000)
@@ -244,7 +244,7 @@
     }
   const waits = attemptTimes.slice(1).map((time, i) => time - attemptTimes[i]!);
   assert.deepEqual(waits.slice(0, 5), [30_000, 60_000, 120_000, 240_000, 240_000]);
-  assert.ok(backoff.canAttempt(1, 0), "another key has no back-off");
+  assert.ok(backoff.canAttempt(1, 0), "another key has no backoff");
 });
 
 test("each of 4,000 misrouted workers counts once per term, and not after the window", () => {
