--- a/src/autoscaling/demand-record.ts
+++ b/src/autoscaling/demand-record.ts
@@ -55,8 +55,9 @@
 }
 
 /**
- * Builds the summary of a shard from its demand record and its machines' records; null if the demand record is invalid.
- * Machines that have sent no heartbeat are reported as booting and all others as busy, so that none counts as idle.
+ * Builds the summary of a shard from its demand record and its machines' records; null if the demand record is
+ * malformed. Machines that have sent no heartbeat are reported as booting and all others as busy, so that none counts
+ * as idle.
  */
 export function fromDemandRecord(
   shard: number,
--- a/src/autoscaling/machine-list-reader.ts
+++ b/src/autoscaling/machine-list-reader.ts
@@ -6,7 +6,7 @@
 import type { MachineSelection } from "./removal-selection.js";
 import type { ReturnedMachines } from "./returned-machines.js";
 
-/** Minimum time between the starts of two listings: the larger of these multiples of the list lag and of the pass interval. */
+/** Minimum time between the starts of two listings: the larger of these multiples of list lag and pass interval. */
 const MIN_LIST_INTERVAL_LAGS = 2;
 const MIN_LIST_INTERVAL_PASSES = 10;
 
--- a/src/autoscaling/removal-selection.ts
+++ b/src/autoscaling/removal-selection.ts
@@ -27,12 +27,12 @@
   const machinesByHost = new Map(view.machines.map((machine) => [machine.host, machine]));
   for (const [shard, summary] of view.summaries.entries()) {
     if (!summary?.recovered) continue;
-    const isOwnerPartitioned = isLikelyPartitioned(summary.machines);
+    const isOwnerCutOffFromWorkers = isLikelyCutOffFromWorkers(summary.machines);
     const hosts = summary.machines
       .filter((reported) => {
         const machine = machinesByHost.get(reported.host);
         if (machine === undefined || machine.isDraining) return false;
-        return isRemovable(reported, machine, isOwnerPartitioned, view, types);
+        return isRemovable(reported, machine, isOwnerCutOffFromWorkers, view, types);
       })
       .map(({ host }) => host);
     if (hosts.length > 0) selections.push({ shard, hosts });
@@ -43,7 +43,7 @@
 function isRemovable(
   reported: MachineSummary,
   machine: RentedMachine,
-  isOwnerPartitioned: boolean,
+  isOwnerCutOffFromWorkers: boolean,
   view: ScalingView,
   types: MachineTypes,
 ): boolean {
@@ -56,7 +56,7 @@
     // its new owner has received no heartbeat from it yet.
     case "lease_expired":
     case "awaiting_heartbeat":
-      return !isOwnerPartitioned && reported.stateForMs >= view.leaseMs;
+      return !isOwnerCutOffFromWorkers && reported.stateForMs >= view.leaseMs;
     case "booting":
       return hasBootFailed(machine, view, types);
     case "busy":
@@ -81,7 +81,7 @@
 }
 
 /** Whether more leases have expired than machines are reachable; prevents returning a fleet cut off from its owner. */
-function isLikelyPartitioned(machines: MachineSummary[]): boolean {
+function isLikelyCutOffFromWorkers(machines: MachineSummary[]): boolean {
   const expired = machines.filter(({ state }) => state === "lease_expired").length;
   const reachable = machines.filter(
     ({ state }) => state === "idle" || state === "busy" || state === "quarantined",
--- a/src/autoscaling/rental-order-record.ts
+++ b/src/autoscaling/rental-order-record.ts
@@ -24,7 +24,7 @@
   return { ...plan, since: wallNow };
 }
 
-/** Parses a stored rental order; null if it is invalid. */
-export function readRentalOrder(value: unknown): RentalOrderRecord | null {
+/** Decodes a rental order; null if the value is malformed. */
+export function decodeRentalOrder(value: unknown): RentalOrderRecord | null {
   return recordSchema.safeParse(value).data ?? null;
 }
--- a/src/autoscaling/rental-orders.ts
+++ b/src/autoscaling/rental-orders.ts
@@ -5,7 +5,7 @@
 import { machineGroupWrites } from "./machine-group-writes.js";
 import type { MachineTypeCache } from "./machine-type-cache.js";
 import type { PoolRefusals } from "./pool-refusals.js";
-import { readRentalOrder, toRentalOrderRecord, type RentalOrderRecord } from "./rental-order-record.js";
+import { decodeRentalOrder, toRentalOrderRecord, type RentalOrderRecord } from "./rental-order-record.js";
 import type { RentalPlan } from "./rental-plan.js";
 
 /** The typical boot time assumed for a machine type that is not recorded. */
@@ -56,7 +56,7 @@
 
   /**
    * Sends a recorded order again if its machines have not been recorded, for example because the response was lost. The
-   * name is the same, so that no machine is rented twice. An invalid record is removed.
+   * name is the same, so that no machine is rented twice. A malformed record is removed.
    *
    * @returns whether there is such an order, even if the rate limit permits no call to the cloud now
    * @throws {CloudError} if the cloud returns no usable response
@@ -67,7 +67,7 @@
     const entry = view.list(prefixes.rentalOrders)[0];
     if (entry === undefined) return false;
     if (!cloud.tryAcquireCall()) return true;
-    const record = readRentalOrder(entry.value);
+    const record = decodeRentalOrder(entry.value);
     const name = entry.key.slice(prefixes.rentalOrders.length);
     if (record === null) await state.compareAndSwap([leaderCondition], [{ remove: entry.key }], "ownership");
     else await this.send(leaderCondition, { name, version: entry.version, record });
--- a/src/autoscaling/summary-store.ts
+++ b/src/autoscaling/summary-store.ts
@@ -50,7 +50,7 @@
     return this.recordedSummary(shard, now);
   }
 
-  /** The recorded summary of a shard; undefined if it is too old, invalid or not from the current owner. */
+  /** The recorded summary of a shard; undefined if it is too old, malformed or not from the current owner. */
   private recordedSummary(shard: number, now: number): ShardSummary | undefined {
     const entry = this.view.get(keys.shardDemand(shard));
     if (entry === undefined) return undefined;
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -49,7 +49,7 @@
   spec: JobSpec;
   /** Assigned when the job is accepted; changes at most once, before the job's first task starts. */
   shard: number;
-  /** Wall-clock time in milliseconds. Used for the order of jobs and for deadlines; no safety property depends on it. */
+  /** Wall-clock time in milliseconds. For the order of jobs and for deadlines only; no safety property depends on it. */
   acceptedAt: number;
   /** How many tasks may run in parallel if another shard enforces the limit of the job's team; null if unlimited. */
   maxParallelTasks: number | null;
@@ -69,7 +69,7 @@
 }
 
 /** Decodes a live job; null if the value is malformed. */
-export function readJob(value: unknown): JobRecord | null {
+export function decodeJob(value: unknown): JobRecord | null {
   return jobRecordSchema.safeParse(value).data ?? null;
 }
 
@@ -79,7 +79,7 @@
 export type QuotaReservation = z.infer<typeof quotaReservationSchema>;
 
 /** Decodes a quota reservation; null if the value is malformed. */
-export function readQuotaReservation(value: unknown): QuotaReservation | null {
+export function decodeQuotaReservation(value: unknown): QuotaReservation | null {
   return quotaReservationSchema.safeParse(value).data ?? null;
 }
 
@@ -89,20 +89,20 @@
 export type EndedJobRecord = z.infer<typeof endedSchema>;
 
 /** Decodes an ended job; null if the value is malformed. */
-export function readEndedJob(value: unknown): EndedJobRecord | null {
+export function decodeEndedJob(value: unknown): EndedJobRecord | null {
   return endedSchema.safeParse(value).data ?? null;
 }
 
 const completedTasksPageSchema = z.object({ jobs: z.record(z.string(), z.string()) });
 
 /** Decodes a page of completed tasks into encoded bitmaps by job id; null if the value is malformed. */
-export function readCompletedTasksPage(value: unknown): Record<string, string> | null {
+export function decodeCompletedTasksPage(value: unknown): Record<string, string> | null {
   return completedTasksPageSchema.safeParse(value).data?.jobs ?? null;
 }
 
 const completedTasksChunkSchema = z.object({ bits: z.string() });
 
 /** Decodes a chunk of the completed tasks of a large job into an encoded bitmap; null if the value is malformed. */
-export function readCompletedTasksChunk(value: unknown): string | null {
+export function decodeCompletedTasksChunk(value: unknown): string | null {
   return completedTasksChunkSchema.safeParse(value).data?.bits ?? null;
 }
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -20,7 +20,7 @@
   Write,
 } from "../wire/index.js";
 import { checkAdmission, type Rejection } from "./admission.js";
-import { encodeJob, readEndedJob, readJob, type EndedJobRecord, type JobRecord } from "./job-records.js";
+import { encodeJob, decodeEndedJob, decodeJob, type EndedJobRecord, type JobRecord } from "./job-records.js";
 import { countDurablyDone } from "./progress-pages.js";
 import type { ShardAssignment } from "./shard-assignment.js";
 
@@ -84,7 +84,7 @@
   applyChanges(changes: RecordChange[]): void {
     for (const change of changes) {
       if (!change.key.startsWith(prefixes.endedJobs)) continue;
-      const ended = readEndedJob(change.value);
+      const ended = decodeEndedJob(change.value);
       if (ended !== null) this.endedJobs.set(change.key.slice(prefixes.endedJobs.length), ended);
     }
   }
@@ -112,7 +112,7 @@
       const entry = this.dependencies.replica.get(keys.job(id));
       // One transaction moves a job from live to ended, so looking for the live record first cannot miss the job.
       if (entry === undefined) return this.lookUpEnded(id);
-      const job = readJob(entry.value);
+      const job = decodeJob(entry.value);
       return job === null ? UNAVAILABLE : this.lookUpLive(job);
     });
   }
@@ -175,7 +175,7 @@
     if (known !== undefined) return foundEnded(id, known);
     const entry = await this.dependencies.state.read(keys.endedJob(id));
     if (entry === null) return { kind: "unknown" };
-    const ended = readEndedJob(entry.value);
+    const ended = decodeEndedJob(entry.value);
     if (ended === null) return UNAVAILABLE;
     this.endedJobs.set(id, ended);
     return foundEnded(id, ended);
@@ -187,7 +187,7 @@
     entry: Pick<RecordEntry, "value" | "version">,
   ): Promise<EndedJobRecord | null> {
     const { state, replica, queueTimeoutMs, notifyOwnerOfCancellation, log } = this.dependencies;
-    const job = readJob(entry.value);
+    const job = decodeJob(entry.value);
     const done = job === null ? 0 : countDurablyDone(replica, job.shard, id, job.spec.tasks);
     const ended: EndedJobRecord = { stage: "cancelled", done };
     // The first transaction to change the job's record wins: a concurrent completion fails, or this cancellation does.
--- a/src/jobs/progress-pages.ts
+++ b/src/jobs/progress-pages.ts
@@ -5,7 +5,7 @@
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import { Bitmap } from "./bitmap.js";
-import { readCompletedTasksChunk, readCompletedTasksPage } from "./job-records.js";
+import { decodeCompletedTasksChunk, decodeCompletedTasksPage } from "./job-records.js";
 
 /** A job that needs more than this fraction of a record's size has records of its own. */
 const MAX_SHARED_FRACTION = 1 / 8;
@@ -77,11 +77,11 @@
 export function countDurablyDone(view: ReplicaView, shard: number, id: string, tasks: number): number {
   const done = new Bitmap(tasks);
   for (const entry of view.list(`${prefixes.completedTasks}${shard}/`)) {
-    const bits = readCompletedTasksPage(entry.value)?.[id];
+    const bits = decodeCompletedTasksPage(entry.value)?.[id];
     if (bits !== undefined) done.mergeChunk(0, bits);
   }
   for (let chunk = 0; ; chunk++) {
-    const bits = readCompletedTasksChunk(view.get(keys.completedTasksChunk(id, chunk))?.value);
+    const bits = decodeCompletedTasksChunk(view.get(keys.completedTasksChunk(id, chunk))?.value);
     if (bits === null) return done.count;
     done.mergeChunk(chunk, bits);
   }
--- a/src/links/diagnosis.ts
+++ b/src/links/diagnosis.ts
@@ -30,7 +30,7 @@
   if (state !== "down") return { state, evidence, scope: "none" };
   if (input.isStalled) return { state: "unknown", evidence: "process_stalled", scope: "unclear" };
   const scope = majorityScope(votes);
-  // Workers that report to no controller may have ended, and users may simply send no requests.
+  // Workers that send heartbeats to no controller may have ended, and users may simply send no requests.
   if (evidence === "silent" && scope !== "this_node")
     return { state: "unknown", evidence: "uncorroborated", scope };
   return { state, evidence, scope };
--- a/src/links/settings.ts
+++ b/src/links/settings.ts
@@ -20,7 +20,7 @@
     quiet_after_reports: intervalCountSchema.min(1).default(4),
     /** Each failure soon after a recovery doubles the recovery time, up to this multiple of it. */
     flap_bound: z.int().min(1).max(64).default(8),
-    /** The share of the state store's and the cloud's request rates that probes of idle links may use. */
+    /** The share of the cloud's request rate that probes of the idle link to it may use. */
     probe_share: z.number().positive().max(0.25).default(0.02),
     /** Each further move for the same cause doubles the backoff, up to this number of shard move periods. */
     move_backoff_bound: z.int().min(1).max(64).default(8),
@@ -69,7 +69,7 @@
 
 /** A response that takes more than this fraction of the call's timeout counts as slow. */
 const SLOW_TIMEOUT_FRACTION = 0.5;
-/** In heartbeat intervals. Workers report at most 1.25 intervals apart, so this leaves a margin. */
+/** In heartbeat intervals. Workers send heartbeats at most 1.25 intervals apart, so this leaves a margin. */
 const SILENCE_HEARTBEAT_INTERVALS = 1.5;
 const STALL_TICKS = 5;
 /** In view intervals: one or two lost frames do not make a view expire. */
--- a/src/membership/cluster-records.ts
+++ b/src/membership/cluster-records.ts
@@ -57,7 +57,7 @@
   mark: advanceId,
 });
 
-/** Decodes a controller instance from a record's value; null if the value does not match the schema. */
+/** Decodes a controller instance; null if the value is malformed. */
 export function decodeController(value: unknown): ControllerInstance | null {
   const parsed = storedControllerSchema.safeParse(value);
   return parsed.success ? { node: parsed.data.node, incarnation: parsed.data.incarnation } : null;
--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -47,7 +47,7 @@
   return [...candidates.values()];
 }
 
-/** Whether a job is startable, has certainly never had a task placed, has not migrated here and is not suspected faulty. */
+/** Whether a job is startable, certainly never had a task placed, did not migrate here and is not suspected faulty. */
 export function canMigrate(job: Job, input: PlacementInput): boolean {
   return (
     !job.hasStarted &&
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Delays the next attempt of a job that fails wherever it runs, and no longer counts its failures against its machines. The exponential
-   * backoff stays within the maximum wait of a job while capacity is free, since the machines may have been at fault
-   * after all.
+   * Delays the next attempt of a job that fails wherever it runs, and no longer counts its failures against its
+   * machines. The exponential backoff stays within the maximum wait of a job while capacity is free, since the machines
+   * may have been at fault after all.
    */
   private backOff(job: Job, now: number): void {
     for (const host of job.lastFailedAtByHost.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
--- a/src/shards/job-table.ts
+++ b/src/shards/job-table.ts
@@ -1,7 +1,7 @@
 /** The jobs of one shard, tracked from their records until none of their tasks is left on a machine. */
 import { Job } from "../workers/job.js";
 import { LRUCache } from "lru-cache";
-import { readCompletedTasksChunk, readCompletedTasksPage, readJob } from "../jobs/job-records.js";
+import { decodeCompletedTasksChunk, decodeCompletedTasksPage, decodeJob } from "../jobs/job-records.js";
 import type { Logger } from "../runtime/log.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
@@ -56,7 +56,7 @@
     }
     // Records read before the cancellation must not start a cancelled job again.
     if (this.byId.get(id)?.version === change.version || this.confirmedCancellations.has(id)) return;
-    const record = readJob(change.value);
+    const record = decodeJob(change.value);
     if (record === null) {
       this.log.error({ key: change.key }, "unreadable job record; keeping the last known state");
       return;
@@ -74,7 +74,7 @@
   /** Applies a changed record of completed tasks: a page shared by many jobs, or a chunk of one large job. */
   applyCompletedTasks(change: RecordChange, view: ReplicaView): void {
     const [owner = "", part = ""] = change.key.slice(prefixes.completedTasks.length).split("/");
-    if (owner === String(this.shard)) this.applyPage(Number(part), readCompletedTasksPage(change.value));
+    if (owner === String(this.shard)) this.applyPage(Number(part), decodeCompletedTasksPage(change.value));
     else this.applyChunk(owner, Number(part), change, view);
   }
 
@@ -91,7 +91,7 @@
 
   private applyChunk(id: string, chunk: number, change: RecordChange, view: ReplicaView): void {
     const job = this.byId.get(id);
-    const bits = readCompletedTasksChunk(change.value);
+    const bits = decodeCompletedTasksChunk(change.value);
     if (bits === null) return;
     if (job) job.mergeDone(chunk, bits);
     // Only shard 0 removes the remaining records of ended jobs, so that the shards do not all attempt it.
--- a/src/shards/machine-removal.ts
+++ b/src/shards/machine-removal.ts
@@ -6,7 +6,7 @@
 import type { StateStoreClient } from "../state/state-store-client.js";
 import type { Condition } from "../wire/index.js";
 import type { Fleet, FleetChange } from "../workers/fleet.js";
-import { readMachineGroup, type MachineGroup } from "../workers/machine-records.js";
+import { decodeMachineGroup, type MachineGroup } from "../workers/machine-records.js";
 import type { OwnerTerm } from "./owner-term.js";
 import type { Shard } from "./shard.js";
 
@@ -35,8 +35,8 @@
 
   /**
    * Records the removal of the requested machines that may be removed, and replies with the hosts whose records have
-   * certainly changed. The removal is durable before anyone acts on it, because a later owner of the shard must not place
-   * tasks on these machines either.
+   * certainly changed. The removal is durable before anyone acts on it, because a later owner of the shard must not
+   * place tasks on these machines either.
    */
   async remove(request: RemovalRequest, reply: (hosts: string[]) => void): Promise<void> {
     const { shard, term } = this.dependencies;
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Commits the change and returns whether it is certainly durable. An unknown outcome is resolved in the background. */
+  /** Commits the change; returns whether it is certainly durable. An unknown outcome is resolved in the background. */
   private async commit(token: number, { conditions, writes, hosts }: FleetChange): Promise<boolean> {
     const { shard, state, log } = this.dependencies;
     const ownership = { key: keys.shard(shard.id), version: token };
@@ -108,7 +108,7 @@
     const { shard, term, state } = this.dependencies;
     const token = term.currentToken();
     const entry = await state.read(key);
-    const group = readMachineGroup(entry?.value);
+    const group = decodeMachineGroup(entry?.value);
     // The group was removed or transferred; the shard applies that when the watch delivers it.
     if (entry === null || group?.shard !== shard.id) return true;
     // After the end of the term, the shard's next owner goes by the records alone.
--- a/src/shards/machine-table.ts
+++ b/src/shards/machine-table.ts
@@ -7,7 +7,7 @@
 import type { RecordChange } from "../wire/index.js";
 import {
   machineRecordFrom,
-  readMachineGroup,
+  decodeMachineGroup,
   type MachineGroup,
   type MachineRecord,
 } from "../workers/machine-records.js";
@@ -52,7 +52,7 @@
 
   /** Applies a changed record of a machine group. */
   applyGroup({ key, value }: RecordChange, now: number): void {
-    const group = value === undefined ? null : readMachineGroup(value);
+    const group = value === undefined ? null : decodeMachineGroup(value);
     // An unreadable record proves nothing: the placements on its machines still count.
     if (group === null && value !== undefined) {
       this.dependencies.log.error({ key }, "unreadable machine group record; keeping the last known state");
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Removes a machine. Its record is removed only after the cloud has responded to its return with 200, or when the machine
-   * is transferred while empty.
+   * Removes a machine. Its record is removed only after the cloud has confirmed its return with status 200, or when the
+   * machine is transferred while empty.
    */
   private remove(host: string, now: number): void {
     const machine = this.byHost.get(host);
--- a/src/shards/shard-records.ts
+++ b/src/shards/shard-records.ts
@@ -1,5 +1,5 @@
 /** Keeps the jobs, machines and quota reservations of one shard in step with the records. */
-import { readEndedJob, readQuotaReservation } from "../jobs/job-records.js";
+import { decodeEndedJob, decodeQuotaReservation } from "../jobs/job-records.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { RecordChange } from "../wire/index.js";
@@ -85,7 +85,7 @@
   }
 
   private applyQuotaReservation({ key, value }: RecordChange): void {
-    const reservation = readQuotaReservation(value);
+    const reservation = decodeQuotaReservation(value);
     if (reservation === null) return;
     this.dependencies.quotaReservations.reserve(key.slice(this.quotaPrefix.length), reservation);
   }
@@ -97,7 +97,7 @@
   private applyEndedJob({ key, value }: RecordChange): void {
     const { shard, jobs, quotaReservations } = this.dependencies;
     const id = key.slice(prefixes.endedJobs.length);
-    if (!quotaReservations.has(id) || readEndedJob(value)?.stage !== "done") return;
+    if (!quotaReservations.has(id) || decodeEndedJob(value)?.stage !== "done") return;
     quotaReservations.release(id);
     jobs.completions.scheduleRemoval(keys.quotaReservation(shard, id));
   }
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -143,7 +143,7 @@
     this.parts.eviction.preempt(this.parts.scheduler.placementInput(now), clock, deadlineAt);
   }
 
-  /** Stops tasks that can save a checkpoint before the cloud takes their machine. */
+  /** Stops tasks that can save a checkpoint before the cloud interrupts their machine. */
   drainInterrupted(): void {
     this.parts.eviction.drainInterrupted(this.machines.values());
   }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -12,7 +12,7 @@
   memoryGb: number;
   /** Capacity of the image cache, in gigabytes. */
   cacheGb: number;
-  /** The rate at which images are fetched, in gigabytes per second. */
+  /** The rate at which images are pulled, in gigabytes per second. */
   fetchGbPerS: number;
   /** The price of an on-demand machine per hour. */
   price: number;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -24,7 +24,7 @@
   gpus: number;
   /** Memory per task, in gigabytes. */
   memoryGb: number;
-  /** The image that a machine must have fetched before a task can start. */
+  /** The image that a machine must have pulled before a task can start. */
   image: string;
   /** The size of the image, in gigabytes. */
   imageGb: number;
@@ -38,7 +38,7 @@
   spread: boolean;
   /** Whether the job may use spot machines. */
   spot: boolean;
-  /** The user's estimate of a task's run time, excluding the image fetch, in seconds. */
+  /** The user's estimate of a task's run time, excluding the image pull, in seconds. */
   estimateS: number;
   /** The run time between a task's checkpoints, in seconds; 0: it saves none. */
   checkpointS: number;
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -39,7 +39,7 @@
   sequence: number;
   /** The highest fencing token that the worker has seen. */
   highestToken: number;
-  /** Seconds until the cloud reclaims the machine; null if there is no interruption notice. */
+  /** Seconds until the cloud interrupts the machine; null if there is no interruption notice. */
   interruptionNoticeS: number | null;
   tasks: TaskStatus[];
 }
--- a/src/workers/fleet.ts
+++ b/src/workers/fleet.ts
@@ -5,7 +5,7 @@
 import type { RecordChange, Condition, Write } from "../wire/index.js";
 import {
   machineRecordFrom,
-  readMachineGroup,
+  decodeMachineGroup,
   type MachineGroup,
   type MachineRecord,
   type MachineStage,
@@ -63,7 +63,7 @@
       this.dropGroup(change.key);
       return;
     }
-    const group = readMachineGroup(change.value);
+    const group = decodeMachineGroup(change.value);
     // An unreadable record proves nothing about its machines, so their last known state is kept.
     if (group === null) {
       this.log.error({ key: change.key }, "unreadable machine group record; keeping the last known state");
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -32,8 +32,8 @@
   hasReported: boolean;
 }
 
-/** Parses the stored value of a group's record; null if it is malformed. Unknown fields are dropped. */
-export const readMachineGroup = (value: unknown): MachineGroup | null =>
+/** Decodes a machine group; null if the value is malformed. Unknown fields are dropped. */
+export const decodeMachineGroup = (value: unknown): MachineGroup | null =>
   groupSchema.safeParse(value).data ?? null;
 
 /** Extracts one machine of a group; `key` is the key of the group's record. */
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -14,7 +14,7 @@
   orphanTasks = new Set<string>();
   /** The tasks in the last reconciled heartbeat; used to check that a drained machine is empty. */
   reportedTasks: TaskStatus[] = [];
-  /** Images that the machine is known to have fetched, because a task that uses them has run there. */
+  /** Images that the machine is known to have pulled, because a task that uses them has run there. */
   readonly images = new Set<string>();
   /** Since when, and for how many consecutive heartbeats, the machine has been empty; also reset by the shard. */
   emptySince: number | null = null;
@@ -37,7 +37,7 @@
   firstHeartbeatAt: number | null = null;
   /** When the last heartbeat was received whose response may have renewed the worker's lease. */
   lastHeartbeatAt: number | null = null;
-  /** Seconds until the cloud reclaims the machine, as of the last heartbeat; null without a notice. */
+  /** Seconds until the cloud interrupts the machine, as of the last heartbeat; null without a notice. */
   interruptionNoticeS: number | null = null;
   /** When the worker's lease was found to have expired; null while it may be valid. Also written by the shard. */
   leaseExpiredAt: number | null = null;
--- a/src/workers/task-reconciliation.ts
+++ b/src/workers/task-reconciliation.ts
@@ -56,7 +56,7 @@
 function updateState(placement: Placement, state: Placement["state"], now: number): void {
   if (placement.state !== state) placement.stateSince = now;
   placement.state = state;
-  // Only a task in the running state proves that the machine has fetched its image.
+  // Only a task in the running state proves that the machine has pulled its image.
   if (state === "running") placement.machine.images.add(placement.job.spec.image);
 }
 
--- a/test/stored-records.test.ts
+++ b/test/stored-records.test.ts
@@ -5,10 +5,10 @@
 import { Bitmap, CHUNK_TASKS } from "../src/jobs/bitmap.js";
 import { countDurablyDone } from "../src/jobs/progress-pages.js";
 import {
-  readCompletedTasksChunk,
-  readEndedJob,
-  readJob,
-  readQuotaReservation,
+  decodeCompletedTasksChunk,
+  decodeEndedJob,
+  decodeJob,
+  decodeQuotaReservation,
 } from "../src/jobs/job-records.js";
 import { readCluster } from "../src/membership/cluster-records.js";
 import type { MachineType } from "../src/wire/index.js";
@@ -78,24 +78,24 @@
     const [plain] = valuesOf("jobs", "fernpond/live/jobs/req-2");
     const spec = parseJobSpec("req-1", FULL_SUBMISSION);
     const notMigrated = { acceptedAt: NOW, maxParallelTasks: null, migratedIn: false };
-    assert.deepEqual(readJob(full), { spec, shard: 1, ...notMigrated });
-    assert.deepEqual(readJob(plain), { spec: parseJobSpec("req-2"), shard: 0, ...notMigrated });
+    assert.deepEqual(decodeJob(full), { spec, shard: 1, ...notMigrated });
+    assert.deepEqual(decodeJob(plain), { spec: parseJobSpec("req-2"), shard: 0, ...notMigrated });
   });
 
   test("a migrated job is read with its limit of parallel tasks, and its former shard's quota reservation is read", () => {
     const [migratedJob] = valuesOf("transfer", "fernpond/live/jobs/req-1");
     const spec = parseJobSpec("req-1", { crew: "capped", bank: "south" });
     const migrated = { acceptedAt: NOW, maxParallelTasks: 4, migratedIn: true };
-    assert.deepEqual(readJob(migratedJob), { spec, shard: 0, ...migrated });
+    assert.deepEqual(decodeJob(migratedJob), { spec, shard: 0, ...migrated });
     const [reservation] = valuesOf("transfer", "fernpond/live/quota/1/req-1");
-    assert.deepEqual(readQuotaReservation(reservation), { team: "capped", cpus: 4, gpus: 0 });
+    assert.deepEqual(decodeQuotaReservation(reservation), { team: "capped", cpus: 4, gpus: 0 });
   });
 
   test("an ended job is read with its final stage and its number of completed tasks", () => {
     const [done] = valuesOf("completion", "fernpond/ended/req-1");
     const [cancelled] = valuesOf("jobs", "fernpond/ended/req-2");
-    assert.deepEqual(readEndedJob(done), { stage: "done", done: 3 });
-    assert.deepEqual(readEndedJob(cancelled), { stage: "cancelled", done: 0 });
+    assert.deepEqual(decodeEndedJob(done), { stage: "done", done: 3 });
+    assert.deepEqual(decodeEndedJob(cancelled), { stage: "cancelled", done: 0 });
   });
 
   test("completed tasks are read from a page shared by many jobs and from a chunk of one large job", () => {
@@ -103,7 +103,7 @@
     assert.equal(countDurablyDone(viewOf([["fernpond/live/done/1/0", page]]), 1, "req-1", 3), 2);
     const [chunk] = valuesOf("completion", "fernpond/live/done/req-2/1");
     const bits = new Bitmap(CHUNK_TASKS + 16);
-    bits.mergeChunk(1, readCompletedTasksChunk(chunk)!);
+    bits.mergeChunk(1, decodeCompletedTasksChunk(chunk)!);
     assert.equal(bits.count, 2);
     assert.ok(bits.has(CHUNK_TASKS) && bits.has(CHUNK_TASKS + 15));
   });
