--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -7,9 +7,9 @@
 /** A named group of users with its guaranteed resources and limits. */
 export interface Team {
   name: string;
-  /** Guaranteed processors. */
+  /** Guaranteed CPUs. */
   cpus: number;
-  /** Maximum number of processors that its tasks may use at the same time; 0: no limit. */
+  /** Maximum number of CPUs that its tasks may use at the same time; 0: no limit. */
   cpusMax: number;
   /** Guaranteed GPUs. */
   gpus: number;
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -49,7 +49,7 @@
   spec: JobSpec;
   /** Assigned when the job is accepted; changes at most once, before the job's first task starts. */
   shard: number;
-  /** Wall-clock time in milliseconds. For the order of jobs and for deadlines only; no safety property depends on it. */
+  /** Wall-clock time in milliseconds. For the order of jobs and deadlines only; no safety property depends on it. */
   acceptedAt: number;
   /** How many tasks may run in parallel if another shard enforces the limit of the job's team; null if unlimited. */
   maxParallelTasks: number | null;
--- a/src/placement/eligibility.ts
+++ b/src/placement/eligibility.ts
@@ -7,7 +7,7 @@
   /** Steady time in milliseconds. */
   now: number;
   /** Whether every machine of the shard has sent a heartbeat in this term or its lease has certainly expired. */
-  recovered: boolean;
+  isReconciled: boolean;
   /** The version of the shard record at the start of this owner's term. */
   termToken: number;
 }
@@ -22,7 +22,7 @@
     !job.isTerminating &&
     !job.isMigrating &&
     job.notBefore <= term.now &&
-    (term.recovered || job.version > term.termToken)
+    (term.isReconciled || job.version > term.termToken)
   );
 }
 
--- a/src/shards/owner-term.ts
+++ b/src/shards/owner-term.ts
@@ -13,7 +13,7 @@
 /** The term of an owner in this process. */
 export class ShardTerm implements OwnerTerm {
   private lastToken: number | null = null;
-  private ended = false;
+  private isEnded = false;
 
   constructor(
     private readonly shard: Shard,
@@ -28,12 +28,12 @@
   }
 
   hasEnded(): boolean {
-    return this.ended;
+    return this.isEnded;
   }
 
   /** Ends the term because the shard has another owner. */
   end(): void {
-    this.ended = true;
+    this.isEnded = true;
   }
 
   /** Passes a new token of this term to the shard and restarts its attempt numbers. */
--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -117,7 +117,7 @@
       wallNow: Date.now(),
       runtimeRatio: (className: string) => speeds.runtimeRatio(className),
       now,
-      recovered: machines.isReconciled,
+      isReconciled: machines.isReconciled,
       termToken,
       reservedQuota: quotaReservations.usage,
       resumeAtJobId: this.resumeAtJobId,
--- a/src/shards/shard-records.ts
+++ b/src/shards/shard-records.ts
@@ -18,7 +18,7 @@
 /** Applies changed records to the state of one shard, and tracks up to which time that state is complete. */
 export class ShardRecords {
   /** Whether the last change was applied in full. */
-  private synchronized = false;
+  private isSynchronized = false;
   private readonly quotaPrefix: string;
 
   constructor(private readonly dependencies: ShardRecordsDependencies) {
@@ -31,7 +31,7 @@
    * process's replica is.
    */
   get viewCompleteAsOf(): number {
-    return this.synchronized ? this.dependencies.jobs.completeAsOf : -Infinity;
+    return this.isSynchronized ? this.dependencies.jobs.completeAsOf : -Infinity;
   }
 
   /**
@@ -41,10 +41,10 @@
    * @throws Error whatever a record that cannot be applied causes.
    */
   sync(view: ReplicaView, changes: RecordChange[] | null, now: number, asOf: number): void {
-    const applicable = this.synchronized ? changes : null;
-    this.synchronized = false;
+    const applicable = this.isSynchronized ? changes : null;
+    this.isSynchronized = false;
     this.applyChanges(view, applicable ?? this.readAll(view, now), now);
-    this.synchronized = true;
+    this.isSynchronized = true;
     this.dependencies.jobs.completeAsOf = asOf;
   }
 
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -68,7 +68,7 @@
   }
 
   /** Whether every task that an earlier owner may have left running has been reported or has certainly ended. */
-  get isRecovered(): boolean {
+  get isReconciled(): boolean {
     return this.parts.machines.isReconciled;
   }
 
@@ -158,7 +158,7 @@
    * done, so no attempt of it may still be running by then, not even one whose task was completed by another attempt.
    */
   private canComplete(job: Job): boolean {
-    return job.maxParallelTasks === Infinity || (job.activeAttempts.size === 0 && this.isRecovered);
+    return job.maxParallelTasks === Infinity || (job.activeAttempts.size === 0 && this.isReconciled);
   }
 
   /** Builds completions for the progress of unfinished jobs, with at most `maxWrites` writes. */
@@ -216,7 +216,7 @@
     return {
       shard: this.id,
       token,
-      recovered: this.isRecovered,
+      recovered: this.isReconciled,
       load: measureLoad(input),
       demand: computeDemand(input),
       machines: input.machines.map((machine) => summarizeMachine(machine, now)),
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -4,9 +4,7 @@
 /** A machine type that the cloud offers. */
 export interface MachineType {
   name: string;
-  /** Processors. */
   cpus: number;
-  /** GPUs. */
   gpus: number;
   /** Memory in gigabytes. */
   memoryGb: number;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -18,7 +18,7 @@
   priority: Priority;
   /** The number of tasks; their indexes start at 0. */
   tasks: number;
-  /** Processors per task. */
+  /** CPUs per task. */
   cpus: number;
   /** GPUs per task. */
   gpus: number;
--- a/test/links-cost.test.ts
+++ b/test/links-cost.test.ts
@@ -68,7 +68,7 @@
   assert.ok(many.report <= 2, `${many.report} clock reads per heartbeat`);
 });
 
-test("idle peers are probed twice per idle time-out, and an idle cloud is not probed", () => {
+test("idle peers are probed twice per idle timeout, and an idle cloud is not probed", () => {
   const { monitor, counts, tick } = createMonitor(10);
   const probeCounts = new Map<LinkName, number>();
   for (let i = 0; i < 60_000 / TICK_MS; i++) {
@@ -84,7 +84,7 @@
       probeCounts.set(link, (probeCounts.get(link) ?? 0) + 1);
     }
   }
-  // An idle link is probed after half of the idle time-out of four heartbeat intervals.
+  // An idle link is probed after half of the idle timeout of four heartbeat intervals.
   for (const peer of PEERS) {
     const count = probeCounts.get(`peer:${peer}`) ?? 0;
     assert.ok(count >= 10 && count <= 60_000 / 4000 + 1, `${count} probes per minute`);
--- a/test/shard.test.ts
+++ b/test/shard.test.ts
@@ -79,7 +79,7 @@
     heartbeat: (host, event) => this.heartbeat(host, event),
     expire: () => {
       this.shard.expire(this.now);
-      return [`recovered ${this.shard.isRecovered}`];
+      return [`recovered ${this.shard.isReconciled}`];
     },
     tick: () => {
       this.shard.drainInterrupted();
@@ -144,7 +144,7 @@
     this.token = ++this.version;
     const { token: termToken, now: termStartedAt, view } = this;
     this.currentShard = newShard({ shard: 0, termToken, termStartedAt, view });
-    return [`token ${this.token}`, `recovered ${this.shard.isRecovered}`];
+    return [`token ${this.token}`, `recovered ${this.shard.isReconciled}`];
   }
 
   private heartbeat(host: string, event: TraceEvent): string[] {
@@ -248,7 +248,7 @@
       if (shard.needsFullRound) shard.place(token, i, () => i, i + 1);
       else shard.placeOnMachine(host, token, i);
     });
-    assert.equal(shard.isRecovered, true);
+    assert.equal(shard.isReconciled, true);
     assert.ok(
       usageReads.mock.callCount() <= 2 * MACHINES,
       `${usageReads.mock.callCount()} reads of machine usage`,
--- a/test/support/records.ts
+++ b/test/support/records.ts
@@ -34,7 +34,7 @@
   }
 }
 
-/** The default machine type: four processors, no GPU. */
+/** The default machine type: four CPUs, no GPU. */
 export const smallType: MachineType = {
   name: "small",
   cpus: 4,
--- a/test/support/shard-state.ts
+++ b/test/support/shard-state.ts
@@ -57,7 +57,7 @@
     runtimeRatio: () => 1,
     now: NOW,
     wallNow: NOW,
-    recovered: true,
+    isReconciled: true,
     termToken: 0,
     reservedQuota: new Map(),
     preemptionReservations: new Map(),
--- a/test/support/simulation.ts
+++ b/test/support/simulation.ts
@@ -222,7 +222,7 @@
   startNode(node: SimulatedNode): void {
     this.crash(node);
     const instance: Partial<ControllerInstance> = { isAlive: true };
-    // Each process has a monotonic clock of its own, which drifts by up to 500 ppm.
+    // Each process has a steady clock of its own, which drifts by up to 500 ppm.
     const clockRate = 1 + (this.randomFraction() - 0.5) * 0.001;
     const startedAt = this.now;
     const stateClient = (isAlsoCut: () => boolean): JsonClient =>
--- a/test/support/worker.ts
+++ b/test/support/worker.ts
@@ -20,7 +20,7 @@
 export interface WorkerNetwork {
   controllers: string[];
   clock(): number;
-  /** Sends a heartbeat from a zone to a controller. Rejects if no response arrives within the time-out. */
+  /** Sends a heartbeat from a zone to a controller. Rejects if no response arrives within the timeout. */
   send(
     zone: string,
     controllerIndex: number,
@@ -213,7 +213,7 @@
     const sentAt = this.network.clock();
     const response = await this.network.send(this.zone, this.controllerIndex, text, timeoutMs);
     const now = this.network.clock();
-    // A process that was suspended sees the response, its time-out and the lease's expiry at the same time.
+    // A process that was suspended sees the response, its timeout and the lease's expiry at the same time.
     if (now > this.leaseEndsAt) this.expireLease();
     const isLate = now - sentAt > timeoutMs;
     if (isLate || this.areResponsesLost || this.isHung || this.isStopped)
--- a/test/transfers.test.ts
+++ b/test/transfers.test.ts
@@ -72,7 +72,7 @@
 });
 
 void describe("shards/quota-reservations", () => {
-  test("a reservation counts until the job's last task has surely ended", () => {
+  test("a reservation counts until the job's last task has certainly ended", () => {
     const reservations = new QuotaReservations(TASK_EXPIRY_MS);
     reservations.reserve("req-1", { team: "tight", cpus: 4, gpus: 0 });
     reservations.reserve("req-2", { team: "tight", cpus: 2, gpus: 0 });
@@ -89,7 +89,7 @@
 const TOKEN = 3;
 const WAITED_MS = 60_000;
 
-/** The record of a job that may run in one zone only, and whose team has a quota of four processors. */
+/** The record of a job that may run in one zone only, and whose team has a quota of four CPUs. */
 function waitingJobRecord(overrides: Partial<JobSpec>, fields: Partial<JobRecord> = {}): { spec: JobSpec } {
   const spec = jobSpec("req-1", { team: "capped", tasks: 6, zone: "south", ...overrides });
   const acceptedAt = Date.now() - WAITED_MS;
