--- a/src/autoscaling/summary-store.ts
+++ b/src/autoscaling/summary-store.ts
@@ -14,7 +14,7 @@
   receivedAt: number;
 }
 
-/** A version of a record, and the monotonic time at which it was first seen. */
+/** A version of a record, and the steady time at which it was first seen. */
 interface SeenVersion {
   version: number;
   seenAt: number;
@@ -50,7 +50,7 @@
     return this.recordedSummary(shard, now);
   }
 
-  /** The recorded summary of a shard; undefined if it is too old, invalid or not from the current owner. */
+  /** The recorded summary of a shard; undefined if it is too old, malformed or not from the current owner. */
   private recordedSummary(shard: number, now: number): ShardSummary | undefined {
     const entry = this.view.get(keys.shardDemand(shard));
     if (entry === undefined) return undefined;
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -20,11 +20,11 @@
   Write,
 } from "../wire/index.js";
 import { checkAdmission, type Rejection } from "./admission.js";
-import { encodeJob, readEndedJob, readJob, type EndedJobRecord, type JobRecord } from "./job-records.js";
+import { encodeJob, decodeEndedJob, decodeJob, type EndedJobRecord, type JobRecord } from "./job-records.js";
 import { countDurablyDone } from "./progress-pages.js";
 import type { ShardAssignment } from "./shard-assignment.js";
 
-/** The state service did not answer in time, or the job's record is unreadable to this version. */
+/** The state store did not respond in time, or the job's record is unreadable to this version. */
 interface Unavailable {
   kind: "unavailable";
 }
@@ -59,11 +59,11 @@
   /** The recorded machine types by name; empty until they are known. */
   readonly machineTypes: () => Map<string, MachineType>;
   readonly shardAssignment: ShardAssignment;
-  /** Asks the shard's owner for a job's progress; null if it does not answer. */
+  /** Asks the shard's owner for a job's progress; null if it does not respond. */
   readonly taskCounts: (shard: number, job: string) => Promise<TaskProgress | null>;
   /** Notifies the owner of a job's shard that the job has been cancelled. */
   readonly notifyOwnerOfCancellation: (shard: number, job: string) => void;
-  /** How long a submission or cancellation may be queued before it is sent to the state service, in milliseconds. */
+  /** How long a submission or cancellation may be queued before it is sent to the state store, in milliseconds. */
   readonly queueTimeoutMs: number;
   readonly log: Logger;
 }
@@ -73,7 +73,7 @@
 
 const UNAVAILABLE: Unavailable = { kind: "unavailable" };
 
-/** Submits, looks up and cancels jobs in the state service; only final states are answered from memory alone. */
+/** Submits, looks up and cancels jobs in the state store; only final states are answered from memory alone. */
 export class JobService {
   /** A cache of ended jobs. It cannot be stale, since final states never change. */
   private readonly endedJobs = new LRUCache<string, EndedJobRecord>({ max: REMEMBERED_ENDED_JOBS });
@@ -84,7 +84,7 @@
   applyChanges(changes: RecordChange[]): void {
     for (const change of changes) {
       if (!change.key.startsWith(prefixes.endedJobs)) continue;
-      const ended = readEndedJob(change.value);
+      const ended = decodeEndedJob(change.value);
       if (ended !== null) this.endedJobs.set(change.key.slice(prefixes.endedJobs.length), ended);
     }
   }
@@ -102,7 +102,7 @@
     });
   }
 
-  /** Looks up the status of a job; at least as recent as any answer that a controller has given before. */
+  /** Looks up the status of a job; at least as recent as any response that a controller has given before. */
   async lookUp(id: string): Promise<JobLookup> {
     const ended = this.endedJobs.get(id);
     if (ended !== undefined) return foundEnded(id, ended);
@@ -112,7 +112,7 @@
       const entry = this.dependencies.replica.get(keys.job(id));
       // One transaction moves a job from live to ended, so looking for the live record first cannot miss the job.
       if (entry === undefined) return this.lookUpEnded(id);
-      const job = readJob(entry.value);
+      const job = decodeJob(entry.value);
       return job === null ? UNAVAILABLE : this.lookUpLive(job);
     });
   }
@@ -175,7 +175,7 @@
     if (known !== undefined) return foundEnded(id, known);
     const entry = await this.dependencies.state.read(keys.endedJob(id));
     if (entry === null) return { kind: "unknown" };
-    const ended = readEndedJob(entry.value);
+    const ended = decodeEndedJob(entry.value);
     if (ended === null) return UNAVAILABLE;
     this.endedJobs.set(id, ended);
     return foundEnded(id, ended);
@@ -187,7 +187,7 @@
     entry: Pick<RecordEntry, "value" | "version">,
   ): Promise<EndedJobRecord | null> {
     const { state, replica, queueTimeoutMs, notifyOwnerOfCancellation, log } = this.dependencies;
-    const job = readJob(entry.value);
+    const job = decodeJob(entry.value);
     const done = job === null ? 0 : countDurablyDone(replica, job.shard, id, job.spec.tasks);
     const ended: EndedJobRecord = { stage: "cancelled", done };
     // The first transaction to change the job's record wins: a concurrent completion fails, or this cancellation does.
@@ -208,7 +208,7 @@
       return await operation();
     } catch (err) {
       if (!(err instanceof StateStoreError)) throw err;
-      this.dependencies.log.debug({ err }, "state service failed to answer user request");
+      this.dependencies.log.debug({ err }, "state store failed to serve a user request");
       return UNAVAILABLE;
     }
   }
--- a/src/shards/shard-records.ts
+++ b/src/shards/shard-records.ts
@@ -1,5 +1,5 @@
 /** Keeps the jobs, machines and quota reservations of one shard in step with the records. */
-import { readEndedJob, readQuotaReservation } from "../jobs/job-records.js";
+import { decodeEndedJob, decodeQuotaReservation } from "../jobs/job-records.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { RecordChange } from "../wire/index.js";
@@ -18,7 +18,7 @@
 /** Applies changed records to the state of one shard, and tracks up to which time that state is complete. */
 export class ShardRecords {
   /** Whether the last change was applied in full. */
-  private synchronized = false;
+  private isSynchronized = false;
   private readonly quotaPrefix: string;
 
   constructor(private readonly dependencies: ShardRecordsDependencies) {
@@ -31,7 +31,7 @@
    * process's replica is.
    */
   get viewCompleteAsOf(): number {
-    return this.synchronized ? this.dependencies.jobs.completeAsOf : -Infinity;
+    return this.isSynchronized ? this.dependencies.jobs.completeAsOf : -Infinity;
   }
 
   /**
@@ -41,10 +41,10 @@
    * @throws Error whatever a record that cannot be applied causes.
    */
   sync(view: ReplicaView, changes: RecordChange[] | null, now: number, asOf: number): void {
-    const applicable = this.synchronized ? changes : null;
-    this.synchronized = false;
+    const applicable = this.isSynchronized ? changes : null;
+    this.isSynchronized = false;
     this.applyChanges(view, applicable ?? this.readAll(view, now), now);
-    this.synchronized = true;
+    this.isSynchronized = true;
     this.dependencies.jobs.completeAsOf = asOf;
   }
 
@@ -85,7 +85,7 @@
   }
 
   private applyQuotaReservation({ key, value }: RecordChange): void {
-    const reservation = readQuotaReservation(value);
+    const reservation = decodeQuotaReservation(value);
     if (reservation === null) return;
     this.dependencies.quotaReservations.reserve(key.slice(this.quotaPrefix.length), reservation);
   }
@@ -97,7 +97,7 @@
   private applyEndedJob({ key, value }: RecordChange): void {
     const { shard, jobs, quotaReservations } = this.dependencies;
     const id = key.slice(prefixes.endedJobs.length);
-    if (!quotaReservations.has(id) || readEndedJob(value)?.stage !== "done") return;
+    if (!quotaReservations.has(id) || decodeEndedJob(value)?.stage !== "done") return;
     quotaReservations.release(id);
     jobs.completions.scheduleRemoval(keys.quotaReservation(shard, id));
   }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -4,15 +4,13 @@
 /** A machine type that the cloud offers. */
 export interface MachineType {
   name: string;
-  /** Processors. */
   cpus: number;
-  /** GPUs. */
   gpus: number;
   /** Memory in gigabytes. */
   memoryGb: number;
   /** Capacity of the image cache, in gigabytes. */
   cacheGb: number;
-  /** The rate at which images are fetched, in gigabytes per second. */
+  /** The rate at which images are pulled, in gigabytes per second. */
   fetchGbPerS: number;
   /** The price of an on-demand machine per hour. */
   price: number;
