--- a/test/support/soak/recorder.ts
+++ b/test/support/soak/recorder.ts
@@ -33,21 +33,23 @@
   }
 
   started(task: string, { host, zone }: FakeWorker): void {
-    this.add({ kind: "started", task: task, host, zone });
+    this.add({ kind: "started", task, host, zone });
   }
 
   completed(task: string): void {
-    this.add({ kind: "completed", task: task });
+    this.add({ kind: "completed", task });
   }
 
   ended(task: string, { host }: FakeWorker, cause: EndCause, at: number): void {
-    this.events.push({ at, kind: "ended", task: task, host, cause });
+    this.events.push({ at, kind: "ended", task, host, cause });
   }
 
+  /** Adds an event at the current time. */
   add(event: Untimed<SoakEvent>): void {
     this.events.push({ at: this.now, ...event });
   }
 
+  /** Adds a line to the timeline at the current time. */
   note(text: string): void {
     this.notes.push({ at: this.now, text });
   }
