--- a/src/cli/link-report.ts
+++ b/src/cli/link-report.ts
@@ -1,4 +1,4 @@
-/** The `links` subcommand: requests the state of their links from all controllers, and formats it. */
+/** The `links` subcommand: collects the link status of all controllers and formats it. */
 import type { Settings } from "../config/settings.js";
 import {
   hasLostLink,
@@ -9,27 +9,29 @@
 } from "../links/status.js";
 import type { PeerNetwork } from "../peers/peer-network.js";
 
-/** The state of one controller's links. */
+/** The link status of one controller. */
 export interface NodeReport {
   /** The controller's name. */
   node: string;
-  /** Null where the controller did not answer with a status that can be read. */
+  /** Null if the controller did not respond with a valid status. */
   status: LinkStatus | null;
 }
 
-/** Exit codes, for scripts; a lost link comes before a controller without an answer, and that before a monitor that is off. */
+/**
+ * Exit codes for scripts. A lost link takes precedence over a missing response, and that over a monitor that is off.
+ */
 export const LINK_EXIT_CODES = {
-  /** Every controller answered, and none has lost a link. */
-  fine: 0,
-  /** Some controller has lost a link. */
-  lost: 1,
-  /** Some controller did not answer, and none of the others has lost a link. */
-  unreached: 3,
-  /** Some controller's monitor is off, so that it cannot say; none has lost a link, and all answered. */
-  off: 4,
+  /** All controllers responded, all their monitors are on, and no link is lost. */
+  ok: 0,
+  /** At least one controller has lost a link. */
+  linkLost: 1,
+  /** At least one controller did not respond; none of the others has lost a link. */
+  noResponse: 3,
+  /** All controllers responded and none has lost a link, but at least one monitor is off and cannot detect a loss. */
+  monitorOff: 4,
 } as const;
 
-/** Requests reports from the controller that the settings are for, and from all its peers. */
+/** Requests reports from the controller that the settings belong to, and from all its peers. */
 export async function collectLinkReports(
   settings: Pick<Settings, "node" | "peers">,
   network: Pick<PeerNetwork, "request">,
@@ -49,12 +51,14 @@
 
 /** The exit code for all reports together. */
 export function linkExitCode(reports: NodeReport[]): number {
-  if (reports.some(({ status }) => status !== null && hasLostLink(status))) return LINK_EXIT_CODES.lost;
-  if (reports.some(({ status }) => status === null)) return LINK_EXIT_CODES.unreached;
-  return reports.some(({ status }) => status?.mode === "off") ? LINK_EXIT_CODES.off : LINK_EXIT_CODES.fine;
+  if (reports.some(({ status }) => status !== null && hasLostLink(status))) return LINK_EXIT_CODES.linkLost;
+  if (reports.some(({ status }) => status === null)) return LINK_EXIT_CODES.noResponse;
+  return reports.some(({ status }) => status?.mode === "off")
+    ? LINK_EXIT_CODES.monitorOff
+    : LINK_EXIT_CODES.ok;
 }
 
-/** Formats all reports as a table for people. The library is loaded only here, so that the daemon runs without it. */
+/** Formats all reports as a table. The table library is loaded only here, so that the controller runs without it. */
 export async function linkTable(reports: NodeReport[]): Promise<string> {
   const { default: Table } = await import("cli-table3");
   const table = new Table({
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -1,4 +1,4 @@
-/** The composition root: makes the parts of one controller and connects them. */
+/** The composition root: creates the components of one controller and wires them together. */
 import { Autoscaler } from "../autoscaling/autoscaler.js";
 import { CloudClient } from "../cloud/cloud-client.js";
 import type { OperatorSettings } from "../config/operator.js";
@@ -29,8 +29,8 @@
 import { deriveTimings, type Timings } from "./timings.js";
 
 /**
- * The parts of one controller. Several refer to each other: those that are made later are reached through callbacks,
- * none of which is called before all parts exist.
+ * The components of one controller. Some depend on each other cyclically; a component that is created later is accessed
+ * through a callback, and no callback is called before all components exist.
  */
 export class ControllerParts {
   readonly timings: Timings;
@@ -47,7 +47,7 @@
   readonly peerRequests: PeerRequestHandler;
   readonly metrics = new DecisionMetrics();
 
-  /** Tells this life of the controller from earlier ones. */
+  /** Distinguishes this run of the controller from earlier ones on the same node. */
   private readonly incarnation = crypto.randomUUID();
   private readonly machineTypes = new MachineTypes();
   private readonly fleet: Fleet;
@@ -61,11 +61,11 @@
     private readonly settings: Settings,
     private readonly operator: OperatorSettings,
     private readonly log: Logger,
-    private readonly network: ControllerDependencies,
+    private readonly dependencies: ControllerDependencies,
   ) {
     this.timings = deriveTimings(settings, operator);
     this.links = this.makeLinkMonitoring();
-    const observed = this.links.observe(network);
+    const observed = this.links.observe(dependencies);
     this.peers = observed.peers;
     this.fleet = new Fleet(log);
     this.shardAssignment = new ShardAssignment(settings.teams, settings.controllers);
@@ -92,7 +92,7 @@
       operator: this.operator,
       timings: this.timings,
       incarnation: this.incarnation,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
     });
   }
@@ -103,7 +103,7 @@
       watchHttp: observed.watches,
       limits: this.settings.state,
       controllers: this.settings.controllers,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       timeoutMs: this.timings.callTimeoutMs,
     });
   }
@@ -112,8 +112,8 @@
     return new CloudClient(
       observed.cloud,
       this.settings.cloud.rps,
-      this.network.clock,
-      // A call to the cloud takes a good part of a second; a lost one is sent again under the same name.
+      this.dependencies.clock,
+      // Calls to the cloud can take most of a second; a lost order is retried under the same name, which is idempotent.
       HEARTBEAT_TIMEOUT_S * 1000,
     );
   }
@@ -131,19 +131,19 @@
   private makeMembership(): Membership {
     return new Membership({
       self: { node: this.settings.node, incarnation: this.incarnation },
-      // There are as many shards as controllers.
+      // The number of shards equals the number of controllers.
       shards: this.settings.controllers,
       controllers: this.settings.controllers,
       timings: this.timings,
       state: this.state,
       view: this.replica,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       callbacks: {
         onOwnershipChanged: () => {
           this.shards.reconcileOwnership();
         },
-        requestHandOver: (owner, shard, targetNode) => {
-          this.controllerRequests.requestHandOver(owner, shard, targetNode);
+        requestHandOver: (owner, shard, successor) => {
+          this.controllerRequests.requestHandOver(owner, shard, successor);
         },
         isCutOffFromWorkers: (node) => this.links.policy.isCutOffFromWorkers(node),
       },
@@ -152,13 +152,13 @@
   }
 
   private makeShardHost(): ShardHost {
-    const { roundBudgetMs, preemptionSpacingMs, quietTicks, maxViewAgeMs } = this.timings;
+    const { roundBudgetMs, minPreemptionIntervalMs, maxTicksWithoutHeartbeat, maxViewAgeMs } = this.timings;
     return new ShardHost({
       settings: this.settings,
       timings: {
         roundBudgetMs,
-        minPreemptionIntervalMs: preemptionSpacingMs,
-        maxTicksWithoutHeartbeat: quietTicks,
+        minPreemptionIntervalMs,
+        maxTicksWithoutHeartbeat,
         maxViewAgeMs,
         minIntervalMs: this.operator.passSpacingMs,
       },
@@ -167,12 +167,12 @@
       replica: this.replica,
       fleet: this.fleet,
       membership: this.membership,
-      links: this.links.policy,
+      linkPolicy: this.links.policy,
       machineTypes: () => this.machineTypes.byName,
       sendSummary: (summary) => {
         this.summaries.send(summary);
       },
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
     });
   }
@@ -185,7 +185,7 @@
       state: this.state,
       view: this.replica,
       fleet: this.fleet,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       callbacks: {
         leaderVersion: () => this.membership.leaderVersion(),
         requestOwner: (shard, request) => this.controllerRequests.sendToOwner(shard, request),
@@ -217,8 +217,8 @@
       replica: this.replica,
       peers: this.peers,
       peerNames: this.settings.peers.map(({ node }) => node),
-      behindMs: this.timings.behindMs,
-      clock: this.network.clock,
+      maxReplicaLagMs: this.timings.maxReplicaLagMs,
+      clock: this.dependencies.clock,
     });
   }
 
@@ -230,7 +230,7 @@
       isBehind: () => this.health.isBehind() || !this.links.policy.allows("accept"),
       isClusterUnavailable: () => this.links.policy.refuses("accept"),
       peerBackoffMs: this.timings.peerTimeoutMs,
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
     });
   }
@@ -243,8 +243,8 @@
       autoscaler: this.autoscaler,
       ownerOf: (shard) => this.shards.ownerOf(shard),
       requestController: (node, request) => this.controllerRequests.send(node, request),
-      clock: this.network.clock,
-      misroutedSpacingMs: this.timings.misroutedSpacingMs,
+      clock: this.dependencies.clock,
+      minMisroutedNoticeIntervalMs: this.timings.minMisroutedNoticeIntervalMs,
       maxMachines: this.operator.maxMachines,
       links: this.links,
     });
@@ -256,9 +256,9 @@
       state: this.state,
       leader: () => this.membership.leader(),
       requestController: (node, request) => this.controllerRequests.send(node, request),
-      clock: this.network.clock,
+      clock: this.dependencies.clock,
       log: this.log,
-      spacingMs: this.operator.passSpacingMs,
+      passSpacingMs: this.operator.passSpacingMs,
       valueBytes: this.settings.state.valueBytes,
       queueTimeoutMs: this.timings.submitQueueTimeoutMs,
     });
@@ -268,9 +268,9 @@
     return new PeerRequestHandler({
       autoscaler: this.autoscaler,
       membership: this.membership,
-      users: this.jobRequests,
+      userRequestHandler: this.jobRequests,
       ownerOf: (shard) => this.shards.ownerOf(shard),
-      mayHandOver: (shard) => this.links.policy.tryHandOver(shard),
+      tryAcquireHandOver: (shard) => this.links.policy.tryHandOver(shard),
       linkStatus: () => this.links.status(),
       recordSummary: (summary) => this.summaries.receive(summary),
     });
--- a/test/connections.test.ts
+++ b/test/connections.test.ts
@@ -49,7 +49,7 @@
   // A timeout of 68 s (twice the cancellation time) exhausted a controller's sockets in a deployment of 4,000 machines.
   test("the idle timeout of connections does not exceed the worker lease", () => {
     const settings = testSettings({ leaseS: 14, cancelS: 34 });
-    const { idleConnectionMs } = deriveTimings(settings, checkOperatorSettings({}));
-    assert.ok(idleConnectionMs <= settings.workers.leaseMs, `${idleConnectionMs} ms`);
+    const { idleConnectionTimeoutMs } = deriveTimings(settings, checkOperatorSettings({}));
+    assert.ok(idleConnectionTimeoutMs <= settings.workers.leaseMs, `${idleConnectionTimeoutMs} ms`);
   });
 });
