--- a/src/shards/cordons.ts
+++ b/src/shards/cordons.ts
@@ -17,7 +17,7 @@
   /** The shard that the machine is meant for. */
   targetShard: number;
   /** Until when it stays cordoned unless the leader asks again: steady time in milliseconds. */
-  until: number;
+  expiresAt: number;
 }
 
 /** The cordons of one shard; each lasts for as long as the leader goes on asking for it. */
@@ -36,16 +36,16 @@
    */
   cordon(targetShard: number, demand: Demand, input: PlacementInput): void {
     const { now } = input;
-    const until = now + CORDON_HEARTBEATS * this.heartbeatIntervalMs;
+    const expiresAt = now + CORDON_HEARTBEATS * this.heartbeatIntervalMs;
     for (const cordon of this.cordons.values())
       if (cordon.targetShard === targetShard) {
-        cordon.until = until;
+        cordon.expiresAt = expiresAt;
         return;
       }
     const machine = findSoonestEmpty(demand, input);
     if (machine === null) return;
     machine.cordoned = true;
-    this.cordons.set(machine, { targetShard, until });
+    this.cordons.set(machine, { targetShard, expiresAt });
     for (const placement of machine.placements)
       if (canStopFor(placement, demand))
         placement.stop ??= { why: "drain", graceS: placement.job.spec.saveS };
@@ -54,8 +54,8 @@
 
   /** Uncordons the machines that the leader has not asked for lately. */
   expire(now: number): void {
-    for (const [machine, { until }] of this.cordons) {
-      if (now <= until) continue;
+    for (const [machine, { expiresAt }] of this.cordons) {
+      if (now <= expiresAt) continue;
       machine.cordoned = false;
       this.cordons.delete(machine);
     }
--- a/src/shards/heartbeat-responder.ts
+++ b/src/shards/heartbeat-responder.ts
@@ -60,7 +60,7 @@
   /** Adds the starts of tasks that are placed on the machine now to the commands. */
   private place(host: string, token: number, now: number, commands: WorkerCommand[]): void {
     const { shard, callbacks, rounds } = this.dependencies;
-    if (!callbacks.mayPlace() || !rounds.placeAtHeartbeat(host, token, now)) return;
+    if (!callbacks.mayPlace() || !rounds.placeAfterHeartbeat(host, token, now)) return;
     const starts = commands.filter(({ op }) => op === "start");
     const startedAttempts = new Set(starts.map(({ attempt }) => attempt));
     for (const start of shard.startCommands(host))
--- a/src/shards/preemption-reservations.ts
+++ b/src/shards/preemption-reservations.ts
@@ -5,7 +5,7 @@
 interface PreemptionReservation {
   job: Job;
   /** Steady time in milliseconds. */
-  until: number;
+  expiresAt: number;
 }
 
 /**
@@ -16,8 +16,8 @@
   private readonly reservations = new Map<Machine, PreemptionReservation>();
 
   /** Reserves a machine for a job until steady time `until`, in milliseconds. */
-  reserve(machine: Machine, job: Job, until: number): void {
-    this.reservations.set(machine, { job, until });
+  reserve(machine: Machine, job: Job, expiresAt: number): void {
+    this.reservations.set(machine, { job, expiresAt });
   }
 
   /** The machine was removed from the shard. */
@@ -28,8 +28,8 @@
   /** The reservations in force; removes those that have expired or whose job has no waiting tasks any more. */
   active(now: number): Map<Machine, Job> {
     const active = new Map<Machine, Job>();
-    for (const [machine, { job, until }] of this.reservations) {
-      if (now > until || job.waiting === 0) this.reservations.delete(machine);
+    for (const [machine, { job, expiresAt }] of this.reservations) {
+      if (now > expiresAt || job.waiting === 0) this.reservations.delete(machine);
       else active.set(machine, job);
     }
     return active;
--- a/src/shards/quota-reservations.ts
+++ b/src/shards/quota-reservations.ts
@@ -14,7 +14,7 @@
  */
 export class QuotaReservations {
   private readonly held = new Map<string, HeldReservation>();
-  private total = new Map<string, QuotaUsage>();
+  private totalByTeam = new Map<string, QuotaUsage>();
 
   constructor(
     /** How long tasks of a job may run on once the job is known to have ended. */
@@ -23,7 +23,7 @@
 
   /** What is reserved, by team. */
   get usage(): ReadonlyMap<string, QuotaUsage> {
-    return this.total;
+    return this.totalByTeam;
   }
 
   /** The jobs for which something is reserved. */
@@ -64,12 +64,12 @@
   }
 
   private recomputeTotals(): void {
-    this.total = new Map();
+    this.totalByTeam = new Map();
     for (const { reservation } of this.held.values()) {
-      const sum = this.total.get(reservation.team) ?? { cpus: 0, gpus: 0 };
+      const sum = this.totalByTeam.get(reservation.team) ?? { cpus: 0, gpus: 0 };
       sum.cpus += reservation.cpus;
       sum.gpus += reservation.gpus;
-      this.total.set(reservation.team, sum);
+      this.totalByTeam.set(reservation.team, sum);
     }
   }
 }
--- a/src/shards/round-throttle.ts
+++ b/src/shards/round-throttle.ts
@@ -17,7 +17,7 @@
 export class RoundThrottle {
   /** Steady time in milliseconds before which no heartbeat leads to a full round. */
   private nextRoundAt = -Infinity;
-  private lastPreemptAt = -Infinity;
+  private lastPreemptionAt = -Infinity;
   private readonly shard: Shard;
   private readonly timings: RoundThrottleDependencies["timings"];
   private readonly clock: SteadyClock;
@@ -29,7 +29,7 @@
   }
 
   /** Places after a heartbeat: a full round if one is due, else on the machine alone. Returns whether tasks were placed. */
-  placeAtHeartbeat(host: string, token: number, now: number): boolean {
+  placeAfterHeartbeat(host: string, token: number, now: number): boolean {
     if (this.shard.needsFullRound && now >= this.nextRoundAt) return this.place(token);
     return this.shard.placeOnMachine(host, token, now) > 0;
   }
@@ -47,8 +47,8 @@
 
   /** Looks for tasks to preempt, once the last ones that were chosen could have been seen stopped. */
   preempt(now: number): void {
-    if (now - this.lastPreemptAt < this.timings.preemptionSpacingMs) return;
-    this.lastPreemptAt = now;
+    if (now - this.lastPreemptionAt < this.timings.preemptionSpacingMs) return;
+    this.lastPreemptionAt = now;
     this.shard.preempt(now, this.clock, this.clock() + this.timings.roundBudgetMs);
   }
 }
