--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -224,12 +224,12 @@
 
   private makeRequestForwarder(): RequestForwarder {
     return new RequestForwarder({
-      own: this.jobRequests,
+      localHandler: this.jobRequests,
       peers: this.settings.peers.map(({ node }) => node),
       forward: (peer, request) => this.controllerRequests.forward(peer, request),
       isBehind: () => this.health.isBehind() || !this.links.policy.allows("accept"),
-      isOutage: () => this.links.policy.refuses("accept"),
-      pauseMs: this.timings.peerTimeoutMs,
+      isClusterUnavailable: () => this.links.policy.refuses("accept"),
+      peerBackoffMs: this.timings.peerTimeoutMs,
       clock: this.network.clock,
       log: this.log,
     });
--- a/src/http/app.ts
+++ b/src/http/app.ts
@@ -47,20 +47,20 @@
           sendJson(ctx, 200, dependencies.decisions());
         });
       case paths.heartbeat:
-        return requireMethod(ctx, "POST", () => answerHeartbeat(ctx, dependencies));
+        return requireMethod(ctx, "POST", () => respondToHeartbeat(ctx, dependencies));
       default:
-        return answerUser(ctx, dependencies.users);
+        return respondToUser(ctx, dependencies.users);
     }
   });
   return app;
 }
 
-async function answerHeartbeat(ctx: Context, dependencies: HeartbeatDependencies): Promise<void> {
+async function respondToHeartbeat(ctx: Context, dependencies: HeartbeatDependencies): Promise<void> {
   const { status, body } = await handleHeartbeat(await readBody(ctx), dependencies);
   sendJson(ctx, status, body);
 }
 
-async function answerUser(ctx: Context, users: UserRequestHandler): Promise<void> {
+async function respondToUser(ctx: Context, users: UserRequestHandler): Promise<void> {
   const { method, path } = ctx;
   const text = method === "POST" ? await readBody(ctx) : undefined;
   const body = text === undefined ? undefined : parseJson(text);
--- a/src/http/heartbeat-endpoint.ts
+++ b/src/http/heartbeat-endpoint.ts
@@ -6,32 +6,32 @@
 import type { Server as HttpServer } from "node:http";
 import type { Socket } from "node:net";
 import type { Logger } from "../runtime/log.js";
-import { readHeartbeatRequest } from "./heartbeat-request.js";
+import { parseHeartbeatRequest } from "./heartbeat-request.js";
 import { responseText, type HttpResponse } from "./responses.js";
 
 /** What the endpoint is made from. */
 export interface HeartbeatEndpointOptions {
   /** Answers the body of a heartbeat. */
-  readonly answer: (body: string) => Promise<HttpResponse>;
+  readonly respond: (body: string) => Promise<HttpResponse>;
   readonly log: Logger;
   /** A connection on which nothing was received for this long is closed, in milliseconds. */
-  readonly idleMs: number;
+  readonly idleTimeoutMs: number;
 }
 
 /** What a connection does when it leaves the endpoint. */
 interface ConnectionCallbacks {
   /** Passes the connection to the HTTP server. */
-  passToServer(socket: Socket): void;
+  passToHttpServer(socket: Socket): void;
   /** The connection is closed or passed on. */
-  onEnd(connection: HeartbeatConnection): void;
+  onReleased(connection: HeartbeatConnection): void;
 }
 
 /** One connection that has carried only heartbeats so far. */
 class HeartbeatConnection {
   private pending: Buffer | null = null;
-  private answering = false;
+  private isResponding = false;
   /** Whether anything was received since the last check for idle connections. */
-  private active = true;
+  private hasReceivedData = true;
 
   constructor(
     private readonly socket: Socket,
@@ -50,12 +50,12 @@
 
   /** Closes the connection if nothing was received since this was last called. */
   closeIfIdle(): void {
-    if (!this.active) this.close();
-    this.active = false;
+    if (!this.hasReceivedData) this.close();
+    this.hasReceivedData = false;
   }
 
   private readonly onClose = (): void => {
-    this.callbacks.onEnd(this);
+    this.callbacks.onReleased(this);
   };
 
   private readonly onError = (err: Error): void => {
@@ -63,29 +63,29 @@
   };
 
   private readonly onData = (chunk: Buffer): void => {
-    this.active = true;
+    this.hasReceivedData = true;
     this.pending = this.pending === null ? chunk : Buffer.concat([this.pending, chunk]);
     // Requests are never pipelined. Guards against a sender that does so all the same: what is received while a request is
     // answered waits for the response, and all but one chunk waits outside this process.
-    if (this.answering) this.socket.pause();
+    if (this.isResponding) this.socket.pause();
     else this.serve();
   };
 
   private serve(): void {
     if (this.pending === null) return;
-    const request = readHeartbeatRequest(this.pending);
+    const request = parseHeartbeatRequest(this.pending);
     if (request.kind === "incomplete") return;
     if (request.kind === "other") {
-      this.passToServer(this.pending);
+      this.passToHttpServer(this.pending);
       return;
     }
-    const rest = this.pending.subarray(request.end);
-    this.pending = rest.byteLength === 0 ? null : rest;
-    this.answering = true;
-    this.options.answer(request.body).then(
+    const remaining = this.pending.subarray(request.end);
+    this.pending = remaining.byteLength === 0 ? null : remaining;
+    this.isResponding = true;
+    this.options.respond(request.body).then(
       (response) => {
         this.socket.write(responseText(response));
-        this.answering = false;
+        this.isResponding = false;
         this.socket.resume();
         this.serve();
       },
@@ -97,14 +97,14 @@
   }
 
   /** From here on the connection is the HTTP server's, with the bytes that were read of it. */
-  private passToServer(unread: Buffer): void {
+  private passToHttpServer(unread: Buffer): void {
     const { socket } = this;
     socket.off("data", this.onData);
     socket.off("error", this.onError);
     socket.off("close", this.onClose);
     this.onClose();
     socket.unshift(unread);
-    this.callbacks.passToServer(socket);
+    this.callbacks.passToHttpServer(socket);
   }
 }
 
@@ -116,10 +116,10 @@
   const connections = new Set<HeartbeatConnection>();
   const serverListeners = server.listeners("connection") as ((socket: Socket) => void)[];
   const callbacks: ConnectionCallbacks = {
-    passToServer: (socket) => {
+    passToHttpServer: (socket) => {
       for (const listener of serverListeners) listener.call(server, socket);
     },
-    onEnd: (connection) => {
+    onReleased: (connection) => {
       connections.delete(connection);
     },
   };
@@ -129,7 +129,7 @@
   });
   const idleCheck = setInterval(() => {
     for (const connection of connections) connection.closeIfIdle();
-  }, options.idleMs);
+  }, options.idleTimeoutMs);
   return () => {
     clearInterval(idleCheck);
     for (const connection of connections) connection.close();
--- a/src/http/request-forwarder.ts
+++ b/src/http/request-forwarder.ts
@@ -9,7 +9,7 @@
 /** What the forwarder needs of the rest of the process. */
 export interface RequestForwarderDependencies {
   /** Answers requests in this process. */
-  readonly own: UserRequestHandler;
+  readonly localHandler: UserRequestHandler;
   /** Names of all other controllers. */
   readonly peers: string[];
   /** Sends a request to a peer, which answers itself or not at all: a request is forwarded once. */
@@ -17,60 +17,60 @@
   /** Whether this node is known to be behind, so that answering by itself only costs time. */
   readonly isBehind: () => boolean;
   /** Whether no controller can answer now, so that forwarding only costs time. */
-  readonly isOutage: () => boolean;
+  readonly isClusterUnavailable: () => boolean;
   /** How long a peer that could not answer gets no further request, in milliseconds. */
-  readonly pauseMs: number;
+  readonly peerBackoffMs: number;
   readonly clock: SteadyClock;
   readonly log: Logger;
 }
 
 /** The most peers that one request is forwarded to. */
-const MAX_PEERS_TRIED = 2;
+const MAX_FORWARD_ATTEMPTS = 2;
 
 const UNAVAILABLE: UserResponse = { status: 503, body: { error: "cannot answer now" } };
 
 /** Answers users' requests in this process, or forwards them to a peer. */
 export class RequestForwarder implements UserRequestHandler {
   /** Peers that could not answer lately. In an outage none can, and requests must not circulate. */
-  private readonly pausedUntil = new Map<string, number>();
+  private readonly backoffEndsAt = new Map<string, number>();
   /** The position among the peers at which the next choice of candidates starts. */
-  private nextStart = 0;
+  private nextPeerIndex = 0;
 
   constructor(private readonly dependencies: RequestForwarderDependencies) {}
 
   /** Answers a request; a response with status 503 is that of this node where no peer has a better one. */
   async handle(request: UserRequest): Promise<UserResponse> {
-    const { own, isBehind } = this.dependencies;
-    const ownResponse = isBehind() ? UNAVAILABLE : await own.handle(request);
-    if (ownResponse.status !== 503 || this.dependencies.isOutage()) return ownResponse;
-    for (const peer of this.candidates()) {
+    const { localHandler, isBehind } = this.dependencies;
+    const localResponse = isBehind() ? UNAVAILABLE : await localHandler.handle(request);
+    if (localResponse.status !== 503 || this.dependencies.isClusterUnavailable()) return localResponse;
+    for (const peer of this.availablePeers()) {
       const response = await this.forwardTo(peer, request);
       if (response.status !== 503) return response;
     }
-    return ownResponse;
+    return localResponse;
   }
 
   private async forwardTo(peer: string, request: UserRequest): Promise<UserResponse> {
-    const { forward, clock, pauseMs, log } = this.dependencies;
+    const { forward, clock, peerBackoffMs, log } = this.dependencies;
     try {
       const response = await forward(peer, request);
-      if (response.status === 503) this.pausedUntil.set(peer, clock() + pauseMs);
+      if (response.status === 503) this.backoffEndsAt.set(peer, clock() + peerBackoffMs);
       return response;
     } catch (err) {
       log.debug({ peer, err }, "user request not answered by peer");
-      this.pausedUntil.set(peer, clock() + pauseMs);
+      this.backoffEndsAt.set(peer, clock() + peerBackoffMs);
       return UNAVAILABLE;
     }
   }
 
   /** Peers to forward to: all take turns, and those that could not answer lately are left out. */
-  private candidates(): string[] {
+  private availablePeers(): string[] {
     const { peers, clock } = this.dependencies;
     const now = clock();
-    const start = this.nextStart++;
+    const start = this.nextPeerIndex++;
     return peers
       .map((_, offset) => peers[(start + offset) % peers.length]!)
-      .filter((peer) => (this.pausedUntil.get(peer) ?? -Infinity) <= now)
-      .slice(0, MAX_PEERS_TRIED);
+      .filter((peer) => (this.backoffEndsAt.get(peer) ?? -Infinity) <= now)
+      .slice(0, MAX_FORWARD_ATTEMPTS);
   }
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -16,16 +16,16 @@
 export async function serve(
   dependencies: HttpDependencies,
   address: string,
-  idleMs: number,
+  idleTimeoutMs: number,
 ): Promise<ListeningServer> {
   const handle = createApp(dependencies).callback();
   const server = createServer((request, response) => void handle(request, response));
   // Users and workers keep their connections; closing them between two polls costs both sides.
-  server.keepAliveTimeout = idleMs;
+  server.keepAliveTimeout = idleTimeoutMs;
   const closeHeartbeatConnections = serveHeartbeats(server, {
-    answer: (text) => handleHeartbeat(text, dependencies),
+    respond: (text) => handleHeartbeat(text, dependencies),
     log: dependencies.log,
-    idleMs,
+    idleTimeoutMs: idleTimeoutMs,
   });
   const port = await listenOn(server, address, dependencies.log);
   return {
--- a/src/links/monitor.ts
+++ b/src/links/monitor.ts
@@ -125,12 +125,12 @@
   }
 
   /** The view to attach to a frame to a peer, if it is time for one. */
-  outgoing(node: string): Uint8Array | undefined {
+  nextOutgoingView(node: string): Uint8Array | undefined {
     return this.viewSender.outgoing(node);
   }
 
   /** Takes a view that came with a frame, and returns the node that it is from; null where it is dropped. */
-  incoming(bytes: Uint8Array): string | null {
+  receiveView(bytes: Uint8Array): string | null {
     const result = this.views.receive(bytes, this.options.clock());
     if (!result.ok) {
       this.recordDroppedView(result.reason);
--- a/src/peers/framing.ts
+++ b/src/peers/framing.ts
@@ -7,7 +7,7 @@
 const MAX_FRAME_BYTES = 1024 * 1024;
 
 /** A frame as it goes over the connection. */
-export function frameBytes(frame: Frame): Buffer {
+export function encodeLengthPrefixedFrame(frame: Frame): Buffer {
   const body = encodeFrame(frame);
   const bytes = Buffer.allocUnsafe(HEADER_BYTES + body.byteLength);
   bytes.writeUInt32BE(body.byteLength, 0);
@@ -27,14 +27,14 @@
   override _transform(chunk: Buffer, _encoding: string, done: TransformCallback): void {
     this.pending = this.pending.byteLength === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     try {
-      this.pushWholeFrames();
+      this.pushCompleteFrames();
       done();
     } catch (err) {
       done(err as Error);
     }
   }
 
-  private pushWholeFrames(): void {
+  private pushCompleteFrames(): void {
     while (this.pending.byteLength >= HEADER_BYTES) {
       const bodyBytes = this.pending.readUInt32BE(0);
       if (bodyBytes > MAX_FRAME_BYTES) throw new FrameError(`a frame of ${bodyBytes} bytes`);
--- a/src/peers/peer-codec.ts
+++ b/src/peers/peer-codec.ts
@@ -9,13 +9,15 @@
 }
 
 /** The states of machines that have another name on the wire. */
-const WIRE_NAMES: [MachineCondition, string][] = [
+const MACHINE_STATE_WIRE_NAMES: [MachineCondition, string][] = [
   ["awaiting_heartbeat", "joining"],
   ["lease_expired", "silent"],
   ["quarantined", "sick"],
 ];
-const toWireName = new Map<string, string>(WIRE_NAMES);
-const fromWireName = new Map<string, string>(WIRE_NAMES.map(([state, wireName]) => [wireName, state]));
+const wireNameByState = new Map<string, string>(MACHINE_STATE_WIRE_NAMES);
+const stateByWireName = new Map<string, string>(
+  MACHINE_STATE_WIRE_NAMES.map(([state, wireName]) => [wireName, state]),
+);
 
 /** A message of which only the states of machines are looked at. */
 interface FrameContent {
@@ -28,7 +30,7 @@
 export function encodeFrame(frame: Frame): Uint8Array {
   const { id, reply, body, linkView } = frame;
   const message = frameType.fromObject({ id, reply, ...body, ...(linkView && { linkView }) });
-  renameMachineStates(message as FrameContent, toWireName);
+  renameMachineStates(message as FrameContent, wireNameByState);
   return frameType.encode(message).finish();
 }
 
@@ -41,7 +43,7 @@
   const plain = decodePlainObject(bytes);
   const kind = plain.body as string | undefined;
   if (kind === undefined) throw new FrameError("a frame without a body");
-  renameMachineStates(plain, fromWireName);
+  renameMachineStates(plain, stateByWireName);
   const frame = { id: plain.id, reply: plain.reply, body: { [kind]: plain[kind] } } as unknown as Frame;
   const linkView = plain.linkView as Uint8Array;
   return linkView.byteLength > 0 ? { ...frame, linkView } : frame;
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -2,7 +2,7 @@
 import { Socket } from "node:net";
 import { pipeline, Writable } from "node:stream";
 import type { Logger } from "../runtime/log.js";
-import { FrameDecoder, frameBytes } from "./framing.js";
+import { FrameDecoder, encodeLengthPrefixedFrame } from "./framing.js";
 import type { Frame, PeerReply, PeerRequest } from "./peer-messages.js";
 import { PeerUnreachableError, type LinkViewExchange } from "./peer-network.js";
 
@@ -10,7 +10,7 @@
 const MAX_PENDING_REQUESTS = 256;
 
 /** A connection on which nothing came for so many time-outs is closed. */
-const IDLE_TIMEOUTS = 2;
+const MAX_IDLE_TIMEOUTS = 2;
 
 /** Another controller, and the address at which it listens for peers. */
 export interface PeerAddress {
@@ -75,17 +75,17 @@
   }
 
   private addPendingRequest(id: number, timer: NodeJS.Timeout, { resolve, reject }: PendingRequest): void {
-    const settle = (): void => {
+    const removePending = (): void => {
       clearTimeout(timer);
       this.pendingRequests.delete(id);
     };
     this.pendingRequests.set(id, {
       resolve: (reply) => {
-        settle();
+        removePending();
         resolve(reply);
       },
       reject: (error) => {
-        settle();
+        removePending();
         reject(error);
       },
     });
@@ -95,15 +95,16 @@
     // Whatever is still under way on a connection on which nothing comes may be held by a cut: a new one is made. A peer
     // that is only slow keeps its connection, or it would never get to reply to anybody.
     const idleSince = Math.max(this.lastFrameReceivedAt, this.connectedAt);
-    if (performance.now() - idleSince > IDLE_TIMEOUTS * this.dependencies.timeoutMs) this.socket?.destroy();
+    if (performance.now() - idleSince > MAX_IDLE_TIMEOUTS * this.dependencies.timeoutMs)
+      this.socket?.destroy();
     this.pendingRequests.get(id)?.reject(this.unreachable("timed_out"));
   }
 
   private send(id: number, request: PeerRequest): void {
     const { peer, viewExchange } = this.dependencies;
-    const linkView = viewExchange()?.outgoing(peer.node);
+    const linkView = viewExchange()?.nextOutgoingView(peer.node);
     const frame: Frame = { id, reply: false, body: request, ...(linkView && { linkView }) };
-    this.connectedSocket().write(frameBytes(frame));
+    this.connectedSocket().write(encodeLengthPrefixedFrame(frame));
   }
 
   private connectedSocket(): Socket {
@@ -115,22 +116,22 @@
     socket.connect(Number(address.slice(colon + 1)), address.slice(0, colon));
     this.socket = socket;
     this.connectedAt = performance.now();
-    const frames = new Writable({
+    const frameReceiver = new Writable({
       objectMode: true,
       write: (frame: Frame, _encoding, done) => {
-        this.receive(frame);
+        this.handleFrame(frame);
         done();
       },
     });
-    pipeline(socket, new FrameDecoder(), frames, (err) => {
+    pipeline(socket, new FrameDecoder(), frameReceiver, (err) => {
       this.onClosed(socket, err ?? null);
     });
     return socket;
   }
 
-  private receive(frame: Frame): void {
+  private handleFrame(frame: Frame): void {
     this.lastFrameReceivedAt = performance.now();
-    if (frame.linkView) this.dependencies.viewExchange()?.incoming(frame.linkView);
+    if (frame.linkView) this.dependencies.viewExchange()?.receiveView(frame.linkView);
     if (frame.reply) this.pendingRequests.get(frame.id)?.resolve(frame.body);
   }
 
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -24,9 +24,9 @@
 /** Views of links, which are attached to frames that are sent anyway. */
 export interface LinkViewExchange {
   /** What to attach to the next frame to a controller, if it is time for a view. */
-  outgoing(node: string): Uint8Array | undefined;
+  nextOutgoingView(node: string): Uint8Array | undefined;
   /** Handles a view that came, and returns which controller it is from; null if it is dropped. */
-  incoming(view: Uint8Array): string | null;
+  receiveView(view: Uint8Array): string | null;
 }
 
 /** The other controllers, and a server for their requests. */
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -3,7 +3,7 @@
 import { pipeline, Writable } from "node:stream";
 import { listenOn } from "../runtime/listen.js";
 import type { Logger } from "../runtime/log.js";
-import { FrameDecoder, frameBytes } from "./framing.js";
+import { FrameDecoder, encodeLengthPrefixedFrame } from "./framing.js";
 import { FrameError } from "./peer-codec.js";
 import type { Frame } from "./peer-messages.js";
 import type { LinkViewExchange, PeerHandler } from "./peer-network.js";
@@ -82,11 +82,13 @@
   private handle({ id, body: request, linkView: requestView }: Extract<Frame, { reply: false }>): void {
     const { handler, viewExchange } = this.dependencies;
     // The reply carries a view where the request did, since only then its sender is known.
-    const sender = requestView ? viewExchange()?.incoming(requestView) : null;
+    const sender = requestView ? viewExchange()?.receiveView(requestView) : null;
     handler(request)
       .then((body) => {
-        const linkView = sender ? viewExchange()?.outgoing(sender) : undefined;
-        this.socket.write(frameBytes({ id, reply: true, body, ...(linkView && { linkView }) }));
+        const linkView = sender ? viewExchange()?.nextOutgoingView(sender) : undefined;
+        this.socket.write(
+          encodeLengthPrefixedFrame({ id, reply: true, body, ...(linkView && { linkView }) }),
+        );
       })
       .catch((err: unknown) => this.socket.destroy(err as Error))
       .finally(() => {
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -55,33 +55,33 @@
 /** The most machines on one page of the machine list; "GET /rentals". */
 export const MAX_LIST = 500;
 
-const amount = z.number().nonnegative();
-const host = z.string().min(1).max(100);
+const nonNegativeNumber = z.number().nonnegative();
+const hostName = z.string().min(1).max(100);
 
 const machineTypeSchema = z
   .object({
     label: z.string().min(1),
-    vcpus: amount,
-    cards: amount,
-    memGb: amount,
-    cacheGb: amount,
-    pullGbPerS: amount,
-    hourly: amount,
-    lowPrice: amount,
-    readyS: amount,
+    vcpus: nonNegativeNumber,
+    cards: nonNegativeNumber,
+    memGb: nonNegativeNumber,
+    cacheGb: nonNegativeNumber,
+    pullGbPerS: nonNegativeNumber,
+    hourly: nonNegativeNumber,
+    lowPrice: nonNegativeNumber,
+    readyS: nonNegativeNumber,
     banks: z.array(z.string()),
   })
-  .transform((breed): MachineType => ({
-    name: breed.label,
-    cpus: breed.vcpus,
-    gpus: breed.cards,
-    memoryGb: breed.memGb,
-    cacheGb: breed.cacheGb,
-    fetchGbPerS: breed.pullGbPerS,
-    price: breed.hourly,
-    spotPrice: breed.lowPrice,
-    bootS: breed.readyS,
-    zones: breed.banks,
+  .transform((machineType): MachineType => ({
+    name: machineType.label,
+    cpus: machineType.vcpus,
+    gpus: machineType.cards,
+    memoryGb: machineType.memGb,
+    cacheGb: machineType.cacheGb,
+    fetchGbPerS: machineType.pullGbPerS,
+    price: machineType.hourly,
+    spotPrice: machineType.lowPrice,
+    bootS: machineType.readyS,
+    zones: machineType.banks,
   }));
 
 /** The response to "GET /flavors": all machine types. */
@@ -90,11 +90,11 @@
   .transform((catalogue) => catalogue.breeds);
 
 /** The response to "POST /rentals": the hosts that were rented. */
-export const rentalSchema = z.object({ hosts: z.array(host) }).transform((rental) => rental.hosts);
+export const rentalSchema = z.object({ hosts: z.array(hostName) }).transform((rental) => rental.hosts);
 
 const listedMachineSchema = z
   .object({
-    nameId: host,
+    nameId: hostName,
     breed: z.string(),
     bank: z.string(),
     loaners: z.boolean(),
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -29,37 +29,37 @@
 export type Write = { put: string; value: unknown; lease?: number } | { remove: string };
 
 /** A revision of the store, or the version of a key; also the id of a lease. */
-const revision = z.int().nonnegative();
+const revisionNumber = z.int().nonnegative();
 
 const entrySchema = z
-  .object({ path: z.string(), value: z.unknown(), stamp: revision })
+  .object({ path: z.string(), value: z.unknown(), stamp: revisionNumber })
   .transform((entry): RecordEntry => ({ key: entry.path, value: entry.value, version: entry.stamp }));
 
 /** The response to "GET /kv/{key}". */
 export const valueSchema = z
-  .object({ value: z.unknown(), stamp: revision })
+  .object({ value: z.unknown(), stamp: revisionNumber })
   .transform(({ value, stamp }) => ({ value, version: stamp }));
 
 /** The response to "GET /kv": one page of entries, whether another follows, and the store's revision. */
 export const pageSchema = z
-  .object({ items: z.array(entrySchema), truncated: z.boolean().nullish(), epoch: revision })
+  .object({ items: z.array(entrySchema), truncated: z.boolean().nullish(), epoch: revisionNumber })
   .transform((page) => ({ entries: page.items, more: page.truncated === true, revision: page.epoch }));
 
 const putSchema = z
-  .object({ put: z.string(), value: z.unknown(), stamp: revision })
+  .object({ put: z.string(), value: z.unknown(), stamp: revisionNumber })
   .transform((event): RecordChange => ({ key: event.put, value: event.value, version: event.stamp }));
 
 const removeSchema = z
-  .object({ remove: z.string(), stamp: revision })
+  .object({ remove: z.string(), stamp: revisionNumber })
   .transform((event): RecordChange => ({ key: event.remove, value: undefined, version: event.stamp }));
 
 /** The response to "GET /changes": the changes, and the store's revision after them. */
 export const changesSchema = z
-  .object({ epoch: revision, events: z.array(z.union([putSchema, removeSchema])) })
+  .object({ epoch: revisionNumber, events: z.array(z.union([putSchema, removeSchema])) })
   .transform(({ epoch, events }) => ({ revision: epoch, changes: events }));
 
 /** The store's revision, in the response to a transaction that was executed and to a read of a key that is not there. */
-export const revisionSchema = z.object({ epoch: revision }).transform(({ epoch }) => epoch);
+export const revisionSchema = z.object({ epoch: revisionNumber }).transform(({ epoch }) => epoch);
 
 /** The response to a transaction that failed: the keys whose conditions do not hold. */
 export const failedConditionsSchema = z
@@ -67,7 +67,7 @@
   .transform(({ failed }) => failed);
 
 /** The response to "POST /grants": the id of the lease. */
-export const leaseSchema = z.object({ hold: revision }).transform(({ hold }) => hold);
+export const leaseSchema = z.object({ hold: revisionNumber }).transform(({ hold }) => hold);
 
 /** The body of "POST /multi". */
 export function transactionToWire(conditions: Condition[], writes: Write[]): object {
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -70,32 +70,32 @@
 /** The longest body of a request to a controller, in bytes; section "The protocols of fernpond". */
 export const MAX_BODY_BYTES = 64 * 1024;
 
-const jobId = z.string().regex(/^req-\d{1,32}$/, "must look like req-000412");
-const amount = z.number().nonnegative();
-const label = z.string().min(1).max(200);
+const jobIdSchema = z.string().regex(/^req-\d{1,32}$/, "must look like req-000412");
+const nonNegativeNumber = z.number().nonnegative();
+const nameString = z.string().min(1).max(200);
 
 const submissionSchema = z
   .object({
-    nameId: jobId,
-    lane: label,
-    crew: label,
+    nameId: jobIdSchema,
+    lane: nameString,
+    crew: nameString,
     shape: z.literal("array"),
     rank: z.enum(PRIORITIES),
     pieces: z.int().min(1).max(MAX_TASKS),
-    vcpus: amount,
-    cards: amount,
-    memGb: amount,
-    bundle: label,
-    imageGb: amount,
-    breeds: z.array(label).min(1).nullish(),
-    bank: label.nullish(),
+    vcpus: nonNegativeNumber,
+    cards: nonNegativeNumber,
+    memGb: nonNegativeNumber,
+    bundle: nameString,
+    imageGb: nonNegativeNumber,
+    breeds: z.array(nameString).min(1).nullish(),
+    bank: nameString.nullish(),
     together: z.boolean(),
     spread: z.boolean(),
     loaners: z.boolean(),
-    guessS: amount,
-    markEveryS: amount,
-    markCostS: amount,
-    dueS: amount.nullish(),
+    guessS: nonNegativeNumber,
+    markEveryS: nonNegativeNumber,
+    markCostS: nonNegativeNumber,
+    dueS: nonNegativeNumber.nullish(),
   })
   .transform((submission): JobSpec => ({
     id: submission.nameId,
@@ -126,7 +126,7 @@
 
 /** Whether a text has the form of a job id. */
 export function isJobId(text: string): boolean {
-  return jobId.safeParse(text).success;
+  return jobIdSchema.safeParse(text).success;
 }
 
 /** The protocol's name of a job's stage. */
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -57,10 +57,10 @@
 /** The most tasks in one heartbeat that are accepted; a limit of ours. */
 const MAX_HEARTBEAT_TASKS = 10_000;
 
-const count = z.int().nonnegative();
+const nonNegativeInteger = z.int().nonnegative();
 
 /** Exit causes by the names of the protocol. */
-const exitCauses: Record<string, ExitCause> = {
+const EXIT_CAUSE_BY_WIRE_NAME: Record<string, ExitCause> = {
   done: "done",
   halted: "stopped",
   error: "error",
@@ -72,7 +72,7 @@
 const taskSchema = z
   .object({
     piece: z.string().regex(/^req-\d{1,32}\/\d{1,6}$/),
-    try: count,
+    try: nonNegativeInteger,
     stage: z.enum(["fetching", "running", "saving", "exited"]),
     cause: z.string().nullish(),
     kept: z.boolean().nullish(),
@@ -85,7 +85,7 @@
       attempt: task.try,
       state: task.stage,
       // An unknown cause is a failure of some kind: the task has to run again.
-      cause: task.stage === "exited" ? (exitCauses[task.cause ?? "error"] ?? "error") : null,
+      cause: task.stage === "exited" ? (EXIT_CAUSE_BY_WIRE_NAME[task.cause ?? "error"] ?? "error") : null,
       saved: task.kept === true,
     };
   });
@@ -97,23 +97,23 @@
     breed: z.string().min(1).max(200),
     bank: z.string().min(1).max(200),
     loaners: z.boolean(),
-    tenure: count,
-    tick: count,
-    baton: count,
+    tenure: nonNegativeInteger,
+    tick: nonNegativeInteger,
+    baton: nonNegativeInteger,
     recallS: z.number().nullish(),
     pieces: z.array(taskSchema).max(MAX_HEARTBEAT_TASKS),
   })
-  .transform((beat): Heartbeat => ({
-    host: beat.host,
-    address: beat.addr,
-    type: beat.breed,
-    zone: beat.bank,
-    spot: beat.loaners,
-    epoch: beat.tenure,
-    sequence: beat.tick,
-    highestToken: beat.baton,
-    interruptionNoticeS: beat.recallS ?? null,
-    tasks: beat.pieces,
+  .transform((heartbeat): Heartbeat => ({
+    host: heartbeat.host,
+    address: heartbeat.addr,
+    type: heartbeat.breed,
+    zone: heartbeat.bank,
+    spot: heartbeat.loaners,
+    epoch: heartbeat.tenure,
+    sequence: heartbeat.tick,
+    highestToken: heartbeat.baton,
+    interruptionNoticeS: heartbeat.recallS ?? null,
+    tasks: heartbeat.pieces,
   }));
 
 /** Checks the body of "POST /agent/beat". */
