--- a/src/http/app.ts
+++ b/src/http/app.ts
@@ -1,4 +1,4 @@
-/** The HTTP interface for users, operators, health checks, and the heartbeats that heartbeat-endpoint.ts leaves to it. */
+/** The HTTP application for users, operators, health checks, and heartbeats that heartbeat-endpoint.ts passes on. */
 import Koa, { type Context } from "koa";
 import { BodyTooLargeError, parseJson, readBodyText } from "../runtime/http-body.js";
 import { restrictionLines, statusRows, type LinkStatus } from "../links/status.js";
@@ -8,10 +8,10 @@
 import { JSON_CONTENT_TYPE } from "./responses.js";
 import type { UserRequestHandler } from "./user-requests.js";
 
-/** What the HTTP interface needs of the rest of the process. */
+/** The services that the HTTP application uses. */
 export interface HttpDependencies extends HeartbeatDependencies {
   users: UserRequestHandler;
-  /** Whether the load balancer should send users here. */
+  /** Whether the load balancer should route users to this controller. */
   isHealthy(): boolean;
   /** The state of this controller's links, for operators. */
   linkStatus(): LinkStatus;
@@ -19,14 +19,14 @@
   decisions(): DecisionReport;
 }
 
-/** The wait before a request that cannot be served now should be retried, in seconds. */
+/** The Retry-After value of responses with status 503, in seconds. */
 const RETRY_AFTER_S = "1";
-/** Where operators see the state of this controller's links. */
+/** The path of this controller's link status, for operators. */
 const LINKS_PATH = "/links";
-/** Where operators see this controller's decisions on lease renewals and on cancelled tasks. */
+/** The path of the counts of this controller's decisions, for operators. */
 const DECISIONS_PATH = "/decisions";
 
-/** The koa application for users, operators, workers and health checks. */
+/** Creates the Koa application that routes requests by path. */
 export function createApp(dependencies: HttpDependencies): Koa {
   const app = new Koa();
   app.on("error", (err: Error) => {
@@ -69,7 +69,7 @@
   sendJson(ctx, response.status, response.body);
 }
 
-/** Writes the response itself: koa's detection of the kind of body is a good part of the cost of a heartbeat's response. */
+/** Bypasses Koa's response handling: its body type detection is a good part of the cost of a heartbeat response. */
 function sendJson(ctx: Context, status: number, body: object): void {
   ctx.respond = false;
   if (status === 503) ctx.set("Retry-After", RETRY_AFTER_S);
@@ -96,7 +96,7 @@
   sendJson(ctx, ok ? 200 : 503, { ok });
 }
 
-/** Sends JSON, or plain text where the request prefers it. */
+/** Sends the link status as JSON, or as plain text if the request's Accept header prefers that. */
 function sendLinkStatus(ctx: Context, dependencies: HttpDependencies): void {
   const status = dependencies.linkStatus();
   if (ctx.accepts("application/json", "text/plain") !== "text/plain") {
@@ -108,7 +108,7 @@
   ctx.body = `${[`${status.node}: ${status.mode}`, ...rows, ...restrictionLines(status)].join("\n")}\n`;
 }
 
-/** The body's text; undefined where it is too long, in which case the connection is closed after the response. */
+/** Reads the request body; undefined if it is too long, in which case the connection closes after the response. */
 async function readBody(ctx: Context): Promise<string | undefined> {
   try {
     return await readBodyText(ctx.req, MAX_BODY_BYTES);
--- a/src/http/heartbeat-endpoint.ts
+++ b/src/http/heartbeat-endpoint.ts
@@ -1,7 +1,8 @@
 /**
- * Heartbeats on kept connections. Heartbeats are most of the requests to a controller, and an HTTP server costs several
- * times what is done with one (docs/design.md has the measurements). So a connection is read here as long as it carries
- * plain heartbeats; with its first request of any other kind it is passed to the HTTP server, unread bytes included.
+ * A fast path for heartbeats on persistent connections. Most requests to a controller are heartbeats, and Node's HTTP
+ * server costs several times as much as the handling of a heartbeat (measurements in docs/design.md). A connection is
+ * therefore parsed here as long as it carries plain heartbeats; at its first request of any other kind it is passed to
+ * the HTTP server, together with the bytes that are not handled yet.
  */
 import type { Server as HttpServer } from "node:http";
 import type { Socket } from "node:net";
@@ -9,28 +10,28 @@
 import { parseHeartbeatRequest } from "./heartbeat-request.js";
 import { responseText, type HttpResponse } from "./responses.js";
 
-/** What the endpoint is made from. */
+/** The handler, logger and idle timeout of the endpoint. */
 export interface HeartbeatEndpointOptions {
-  /** Answers the body of a heartbeat. */
+  /** Handles the body of a heartbeat and resolves to the response. */
   readonly respond: (body: string) => Promise<HttpResponse>;
   readonly log: Logger;
-  /** A connection on which nothing was received for this long is closed, in milliseconds. */
+  /** The interval at which connections without inbound data since the last check are closed, in milliseconds. */
   readonly idleTimeoutMs: number;
 }
 
-/** What a connection does when it leaves the endpoint. */
+/** Called by a connection that leaves the endpoint. */
 interface ConnectionCallbacks {
   /** Passes the connection to the HTTP server. */
   passToHttpServer(socket: Socket): void;
-  /** The connection is closed or passed on. */
+  /** Called once the connection is closed or passed to the HTTP server. */
   onReleased(connection: HeartbeatConnection): void;
 }
 
-/** One connection that has carried only heartbeats so far. */
+/** A connection on which only heartbeats have been received so far. */
 class HeartbeatConnection {
   private pending: Buffer | null = null;
   private isResponding = false;
-  /** Whether anything was received since the last check for idle connections. */
+  /** Whether any data was received since the last idle check. */
   private hasReceivedData = true;
 
   constructor(
@@ -48,7 +49,7 @@
     this.socket.destroy();
   }
 
-  /** Closes the connection if nothing was received since this was last called. */
+  /** Closes the connection if no data was received since the last call. */
   closeIfIdle(): void {
     if (!this.hasReceivedData) this.close();
     this.hasReceivedData = false;
@@ -59,14 +60,14 @@
   };
 
   private readonly onError = (err: Error): void => {
-    this.options.log.debug({ err }, "worker connection failed");
+    this.options.log.debug({ err }, "heartbeat connection failed");
   };
 
   private readonly onData = (chunk: Buffer): void => {
     this.hasReceivedData = true;
     this.pending = this.pending === null ? chunk : Buffer.concat([this.pending, chunk]);
-    // Requests are never pipelined. Guards against a sender that does so all the same: what is received while a request is
-    // answered waits for the response, and all but one chunk waits outside this process.
+    // Workers do not pipeline requests. If a client does, reading pauses while a request is being handled, so that all
+    // but one chunk of the pipelined data stays outside this process.
     if (this.isResponding) this.socket.pause();
     else this.serve();
   };
@@ -90,13 +91,13 @@
         this.serve();
       },
       (err: unknown) => {
-        this.options.log.error({ err }, "heartbeat handling failed");
+        this.options.log.error({ err }, "heartbeat handler failed; closing the connection");
         this.socket.destroy();
       },
     );
   }
 
-  /** From here on the connection is the HTTP server's, with the bytes that were read of it. */
+  /** Detaches the connection and passes it to the HTTP server, with the bytes that were read but not handled. */
   private passToHttpServer(unread: Buffer): void {
     const { socket } = this;
     socket.off("data", this.onData);
@@ -109,8 +110,8 @@
 }
 
 /**
- * Has all new connections of a server read for heartbeats first, and closes those that are idle. The function that is
- * returned closes all connections that have not been passed to the server.
+ * Intercepts all new connections of an HTTP server to handle heartbeats, and closes idle ones. Returns a function that
+ * closes all connections that have not been passed to the server.
  */
 export function serveHeartbeats(server: HttpServer, options: HeartbeatEndpointOptions): () => void {
   const connections = new Set<HeartbeatConnection>();
--- a/src/http/heartbeats.ts
+++ b/src/http/heartbeats.ts
@@ -1,38 +1,38 @@
 /**
- * Answers the text of a heartbeat, however it was received. A heartbeat passes through these steps, each with one job:
+ * Handles the body of a heartbeat, independently of how it was received. A heartbeat passes through these steps:
  *
- * 1. heartbeat-endpoint.ts reads the connection, recognises a heartbeat by heartbeat-request.ts, and writes the response.
- *    Anything unusual goes to app.ts instead, which has the same body answered.
- * 2. This module turns the text into a message, and the routing of that message into a status and a body.
- * 3. controller/heartbeat-router.ts finds the owner of the machine's shard, or another controller.
+ * 1. heartbeat-endpoint.ts reads the connection, parses heartbeats with heartbeat-request.ts, and writes the responses.
+ *    All other requests go to app.ts, which passes the body of a heartbeat to this module as well.
+ * 2. This module parses and validates the body, and turns the routing result into a status and a response body.
+ * 3. controller/heartbeat-router.ts finds the owner of the machine's shard, or the controller to redirect to.
  * 4. shards/shard-owner.ts reconciles the heartbeat and decides on the commands.
  *
- * Steps 1 and 2 are apart since both ways of receiving need step 2.
+ * Step 2 is a module of its own because both receivers in step 1 use it.
  */
 import { parseJson } from "../runtime/http-body.js";
 import type { Logger } from "../runtime/log.js";
 import { parseHeartbeat, redirectToWire, type Heartbeat } from "../wire/index.js";
 import type { HttpResponse } from "./responses.js";
 
-/** The result of a heartbeat: the body with commands, or the controller to report to, null where it is not known. */
+/** The result of a heartbeat: the response with commands, or the controller to redirect to, null if it is unknown. */
 export type HeartbeatRouting =
   { kind: "commands"; body: object } | { kind: "redirect"; owner: string | null };
 
-/** What answering heartbeats needs of the rest of the process. */
+/** The services that heartbeat handling uses. */
 export interface HeartbeatDependencies {
-  /** Has the owner of the worker's shard answer if it is in this process, and finds the controller that it is in if not. */
+  /** Lets the owner of the worker's shard handle the heartbeat if it is in this process; otherwise redirects. */
   routeHeartbeat(heartbeat: Heartbeat): Promise<HeartbeatRouting>;
   log: Logger;
 }
 
-/** Answers the text of a heartbeat; undefined stands for a body that is missing or too long. */
+/** Handles the body of a heartbeat; `text` is undefined if the body is missing or too long. */
 export async function handleHeartbeat(
   text: string | undefined,
   dependencies: HeartbeatDependencies,
 ): Promise<HttpResponse> {
   const parsed = parseHeartbeat(text === undefined ? undefined : parseJson(text));
   if (!parsed.ok) {
-    dependencies.log.info({ error: parsed.error }, "heartbeat rejected as malformed");
+    dependencies.log.info({ error: parsed.error }, "rejected a malformed heartbeat");
     return { status: 400, body: { error: parsed.error } };
   }
   const routing = await dependencies.routeHeartbeat(parsed.value);
--- a/src/http/request-forwarder.ts
+++ b/src/http/request-forwarder.ts
@@ -1,44 +1,44 @@
 /**
- * Forwards to another controller what this one cannot answer: a node that the state service refuses, or that is cut off
- * from it, still serves the users whose connections it holds.
+ * Forwards user requests that this controller cannot answer to another controller. A node that is refused by the state
+ * service, or partitioned from it, can thus still serve the users that are connected to it.
  */
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Logger } from "../runtime/log.js";
 import type { UserResponse, UserRequestHandler, UserRequest } from "./user-requests.js";
 
-/** What the forwarder needs of the rest of the process. */
+/** The local handler, the peers and the services that the forwarder uses. */
 export interface RequestForwarderDependencies {
   /** Answers requests in this process. */
   readonly localHandler: UserRequestHandler;
-  /** Names of all other controllers. */
+  /** The names of all other controllers. */
   readonly peers: string[];
-  /** Sends a request to a peer, which answers itself or not at all: a request is forwarded once. */
+  /** Sends a request to a peer, which answers locally or with 503: a request is forwarded only once. */
   readonly forward: (peer: string, request: UserRequest) => Promise<UserResponse>;
-  /** Whether this node is known to be behind, so that answering by itself only costs time. */
+  /** Whether this node's replica is known to be behind, so that a local attempt would only cost time. */
   readonly isBehind: () => boolean;
-  /** Whether no controller can answer now, so that forwarding only costs time. */
+  /** Whether no controller can answer at present, so that forwarding would only cost time. */
   readonly isClusterUnavailable: () => boolean;
-  /** How long a peer that could not answer gets no further request, in milliseconds. */
+  /** How long a peer that could not answer is skipped, in milliseconds. */
   readonly peerBackoffMs: number;
   readonly clock: SteadyClock;
   readonly log: Logger;
 }
 
-/** The most peers that one request is forwarded to. */
+/** The most peers that are tried for one request. */
 const MAX_FORWARD_ATTEMPTS = 2;
 
 const UNAVAILABLE: UserResponse = { status: 503, body: { error: "cannot answer now" } };
 
-/** Answers users' requests in this process, or forwards them to a peer. */
+/** Answers users' requests locally, or forwards them to a peer. */
 export class RequestForwarder implements UserRequestHandler {
-  /** Peers that could not answer lately. In an outage none can, and requests must not circulate. */
+  /** When the backoff of a peer that could not answer ends. Keeps requests from circulating during an outage of all. */
   private readonly backoffEndsAt = new Map<string, number>();
-  /** The position among the peers at which the next choice of candidates starts. */
+  /** The round-robin position at which the next selection of peers starts. */
   private nextPeerIndex = 0;
 
   constructor(private readonly dependencies: RequestForwarderDependencies) {}
 
-  /** Answers a request; a response with status 503 is that of this node where no peer has a better one. */
+  /** Answers a request. If neither this node nor a peer can answer, the response is this node's, with status 503. */
   async handle(request: UserRequest): Promise<UserResponse> {
     const { localHandler, isBehind } = this.dependencies;
     const localResponse = isBehind() ? UNAVAILABLE : await localHandler.handle(request);
@@ -57,13 +57,13 @@
       if (response.status === 503) this.backoffEndsAt.set(peer, clock() + peerBackoffMs);
       return response;
     } catch (err) {
-      log.debug({ peer, err }, "user request not answered by peer");
+      log.debug({ peer, err }, "failed to forward a user request to a peer");
       this.backoffEndsAt.set(peer, clock() + peerBackoffMs);
       return UNAVAILABLE;
     }
   }
 
-  /** Peers to forward to: all take turns, and those that could not answer lately are left out. */
+  /** The peers to try, in round-robin order, without those in backoff. */
   private availablePeers(): string[] {
     const { peers, clock } = this.dependencies;
     const now = clock();
--- a/src/http/responses.ts
+++ b/src/http/responses.ts
@@ -1,16 +1,16 @@
-/** JSON responses, as data and as the text of an HTTP/1.1 response. */
+/** JSON responses and their serialization as HTTP/1.1. */
 import { STATUS_CODES } from "node:http";
 
 /** The content type of all JSON responses. */
 export const JSON_CONTENT_TYPE = "application/json; charset=utf-8";
 
-/** A status and a JSON body. */
+/** An HTTP response with a JSON body. */
 export interface HttpResponse {
   status: number;
   body: object;
 }
 
-/** The whole text of an HTTP/1.1 response on a connection that stays open. */
+/** Serializes a response as HTTP/1.1, for a connection that stays open. */
 export function responseText({ status, body }: HttpResponse): string {
   const text = JSON.stringify(body);
   return (
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -5,14 +5,14 @@
 import { serveHeartbeats } from "./heartbeat-endpoint.js";
 import { handleHeartbeat } from "./heartbeats.js";
 
-/** A server that listens. */
+/** A server that is listening. */
 export interface ListeningServer {
   port: number;
-  /** Closes the server and all its connections. */
+  /** Stops listening and closes all connections. */
   close(): void;
 }
 
-/** Begins to listen at an address, host:port; idle connections are closed after `idleMs` milliseconds. */
+/** Starts listening at an address, `host:port`; idle connections are closed after `idleTimeoutMs` milliseconds. */
 export async function serve(
   dependencies: HttpDependencies,
   address: string,
@@ -20,12 +20,12 @@
 ): Promise<ListeningServer> {
   const handle = createApp(dependencies).callback();
   const server = createServer((request, response) => void handle(request, response));
-  // Users and workers keep their connections; closing them between two polls costs both sides.
+  // Users and workers reuse their connections; a timeout between two polls would cost both sides a reconnection.
   server.keepAliveTimeout = idleTimeoutMs;
   const closeHeartbeatConnections = serveHeartbeats(server, {
     respond: (text) => handleHeartbeat(text, dependencies),
     log: dependencies.log,
-    idleTimeoutMs: idleTimeoutMs,
+    idleTimeoutMs,
   });
   const port = await listenOn(server, address, dependencies.log);
   return {
--- a/src/http/user-requests.ts
+++ b/src/http/user-requests.ts
@@ -1,4 +1,4 @@
-/** Users' requests, answered as the protocol says: from a method, a path and a body to a status and a body. */
+/** Maps users' requests (method, path, body) to responses (status, body) as the protocol specifies. */
 import type { JobService, JobLookup } from "../jobs/job-service.js";
 import {
   acceptedToWire,
@@ -13,38 +13,38 @@
 export interface UserRequest {
   method: string;
   path: string;
-  /** The parsed JSON body; undefined where it is missing, no JSON or too long. */
+  /** The parsed JSON body; undefined if it is missing, invalid JSON or too long. */
   body: unknown;
 }
 
-/** The response to a user, independent of HTTP. */
+/** The response to a user's request, independent of HTTP. */
 export interface UserResponse {
   status: number;
   body: object;
-  /** The only method that the path allows, where another was used. */
+  /** The only method that the path allows; set if the request used another. */
   allow?: string;
 }
 
-/** Answers users' requests: in this process, or by forwarding what it cannot answer. */
+/** Handles users' requests; implementations answer them locally or forward them to a peer. */
 export interface UserRequestHandler {
   handle(request: UserRequest): Promise<UserResponse>;
 }
 
-/** What a path stands for. */
+/** The operation that a path denotes. */
 interface Route {
-  /** The only method that it allows. */
+  /** The only allowed method. */
   allow: string;
   respond(): Promise<UserResponse>;
 }
 
-/** How much of an unknown path a response quotes, in characters. */
+/** The length to which an unknown path is truncated in an error response, in characters. */
 const MAX_QUOTED_PATH = 100;
 
-/** Answers users' requests from the job service. */
+/** Answers users' requests with the job service of this process. */
 export class JobRequestHandler implements UserRequestHandler {
   constructor(private readonly jobs: JobService) {}
 
-  /** Answers a request; unknown paths and methods included. */
+  /** Answers a request; responds with 404 to an unknown path and with 405 to a method that the path does not allow. */
   async handle(request: UserRequest): Promise<UserResponse> {
     const { method, path } = request;
     const route = this.route(request);
--- a/src/peers/framing.ts
+++ b/src/peers/framing.ts
@@ -1,4 +1,4 @@
-/** Frames on a byte stream: a length of four bytes, big-endian, then the frame. */
+/** Framing on a byte stream: each frame is preceded by its length as a four-byte big-endian integer. */
 import { Transform, type TransformCallback } from "node:stream";
 import { decodeFrame, encodeFrame, FrameError } from "./peer-codec.js";
 import type { Frame } from "./peer-messages.js";
@@ -6,7 +6,7 @@
 const HEADER_BYTES = 4;
 const MAX_FRAME_BYTES = 1024 * 1024;
 
-/** A frame as it goes over the connection. */
+/** Encodes a frame with its length prefix, as it is written to a connection. */
 export function encodeLengthPrefixedFrame(frame: Frame): Buffer {
   const body = encodeFrame(frame);
   const bytes = Buffer.allocUnsafe(HEADER_BYTES + body.byteLength);
@@ -15,7 +15,7 @@
   return bytes;
 }
 
-/** Bytes in, frames out. A broken or oversize frame ends the stream with a `FrameError`. */
+/** Transforms a byte stream into frames. A malformed or oversize frame destroys the stream with a `FrameError`. */
 export class FrameDecoder extends Transform {
   private pending: Buffer = Buffer.alloc(0);
 
@@ -23,7 +23,7 @@
     super({ readableObjectMode: true });
   }
 
-  /** Splits the bytes received so far into frames; a frame that cannot be read ends the stream with its FrameError. */
+  /** Emits every frame that is complete; an undecodable frame destroys the stream with its `FrameError`. */
   override _transform(chunk: Buffer, _encoding: string, done: TransformCallback): void {
     this.pending = this.pending.byteLength === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     try {
@@ -37,7 +37,8 @@
   private pushCompleteFrames(): void {
     while (this.pending.byteLength >= HEADER_BYTES) {
       const bodyBytes = this.pending.readUInt32BE(0);
-      if (bodyBytes > MAX_FRAME_BYTES) throw new FrameError(`a frame of ${bodyBytes} bytes`);
+      if (bodyBytes > MAX_FRAME_BYTES)
+        throw new FrameError(`frame length of ${bodyBytes} bytes is above the limit`);
       const frameEnd = HEADER_BYTES + bodyBytes;
       if (this.pending.byteLength < frameEnd) return;
       this.push(decodeFrame(this.pending.subarray(HEADER_BYTES, frameEnd)));
--- a/src/peers/observed-peer-network.ts
+++ b/src/peers/observed-peer-network.ts
@@ -1,4 +1,4 @@
-/** Lets the link monitor observe the calls between controllers, without changing them. */
+/** Reports the outcome of calls between controllers to the link monitor, without changing the calls. */
 import { peerLink, type ObservationSink } from "../links/model.js";
 import type { PeerReply, PeerRequest } from "./peer-messages.js";
 import {
@@ -8,37 +8,37 @@
   type PeerNetwork,
 } from "./peer-network.js";
 
-/** Whether the reply to a request waits for other services: that it takes long says nothing about the link. */
+/** Whether the peer calls other services before it replies, so that a slow reply says nothing about the link. */
 function waitsForOtherServices(request: PeerRequest): boolean {
   return "forwardUserRequest" in request || "drainMachines" in request || "transferMachines" in request;
 }
 
-/** A network whose requests and replies are reported to the link monitor. */
+/** Decorates a peer network: each request that is answered, or times out, is reported as an observation of the link. */
 export class ObservedPeerNetwork implements PeerNetwork {
   constructor(
     private readonly network: PeerNetwork,
     private readonly sink: ObservationSink,
   ) {}
 
-  /** When any peer last answered; steady time in milliseconds. */
+  /** When the last frame was received from any peer; steady time in milliseconds. */
   get lastResponseAt(): number {
     return this.network.lastResponseAt;
   }
 
-  /** The exchange of link views; null while no link monitor runs. */
+  /** Supplies and receives link views; null while the link monitor is off. */
   get viewExchange(): LinkViewExchange | null {
     return this.network.viewExchange;
   }
 
-  /** Sets the exchange of link views for all connections. */
+  /** Sets the link view exchange of all connections. */
   set viewExchange(exchange: LinkViewExchange | null) {
     this.network.viewExchange = exchange;
   }
 
   /**
-   * Sends a request to a peer and reports whether it was answered.
+   * Sends a request to a peer and reports whether it replied.
    *
-   * @throws PeerUnreachableError where the peer does not answer in time
+   * @throws {PeerUnreachableError} if the peer does not reply in time or cannot be reached
    */
   async request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
     const link = peerLink(node);
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Listens to peers' requests; resolves to the port. */
+  /** Starts the server for requests from peers; resolves to its port. */
   listen(address: string, handler: PeerHandler): Promise<number> {
     return this.network.listen(address, handler);
   }
--- a/src/peers/peer-codec.ts
+++ b/src/peers/peer-codec.ts
@@ -1,14 +1,14 @@
-/** Encodes and decodes the frames between controllers. */
+/** Encodes and decodes the protobuf frames that controllers exchange. */
 import protobuf from "protobufjs";
 import type { Frame, MachineCondition } from "./peer-messages.js";
 import { FRAME_TYPE_NAME, PEER_SCHEMA } from "./peer-schema.js";
 
-/** Bytes from another controller that are no frame. */
+/** Thrown when data received from another controller is not a valid frame. */
 export class FrameError extends Error {
   override readonly name = "FrameError";
 }
 
-/** The states of machines that have another name on the wire. */
+/** Machine states whose name on the wire differs from their name in the program. */
 const MACHINE_STATE_WIRE_NAMES: [MachineCondition, string][] = [
   ["awaiting_heartbeat", "joining"],
   ["lease_expired", "silent"],
@@ -19,7 +19,7 @@
   MACHINE_STATE_WIRE_NAMES.map(([state, wireName]) => [wireName, state]),
 );
 
-/** A message of which only the states of machines are looked at. */
+/** The part of a message that contains machine states. */
 interface FrameContent {
   summary?: { machines: { state: string }[] } | null;
 }
@@ -37,12 +37,12 @@
 /**
  * Decodes a frame from protobuf.
  *
- * @throws {FrameError} on bytes that are no frame
+ * @throws {FrameError} if the bytes are not a valid frame
  */
 export function decodeFrame(bytes: Uint8Array): Frame {
   const plain = decodePlainObject(bytes);
   const kind = plain.body as string | undefined;
-  if (kind === undefined) throw new FrameError("a frame without a body");
+  if (kind === undefined) throw new FrameError("frame has no body");
   renameMachineStates(plain, stateByWireName);
   const frame = { id: plain.id, reply: plain.reply, body: { [kind]: plain[kind] } } as unknown as Frame;
   const linkView = plain.linkView as Uint8Array;
@@ -58,13 +58,13 @@
       oneofs: true,
     });
   } catch (err) {
-    throw new FrameError("a frame that is not valid protobuf", { cause: err });
+    throw new FrameError("frame is not valid protobuf", { cause: err });
   }
 }
 
 /**
- * Renames the states of machines in place: both the message to be encoded and the decoded object are copies made by
- * protobufjs. A summary of hundreds of machines is sent once a second, so that this must not copy them again.
+ * Replaces machine state names in place. This is safe because both the message to encode and the decoded object are
+ * copies made by protobufjs; a second copy is avoided because summaries of hundreds of machines are sent every second.
  */
 function renameMachineStates({ summary }: FrameContent, names: ReadonlyMap<string, string>): void {
   if (!summary) return;
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -1,4 +1,4 @@
-/** The client side of a connection to another controller: requests out, replies back, each with a deadline. */
+/** The client side of a connection to another controller: sends requests, each with a timeout, and matches replies. */
 import { Socket } from "node:net";
 import { pipeline, Writable } from "node:stream";
 import type { Logger } from "../runtime/log.js";
@@ -6,26 +6,26 @@
 import type { Frame, PeerReply, PeerRequest } from "./peer-messages.js";
 import { PeerUnreachableError, type LinkViewExchange } from "./peer-network.js";
 
-/** Past this many unanswered requests a peer counts as unreachable: nothing may queue without bound. */
+/** Further requests fail at once, as if the peer were unreachable; this bounds the memory for pending requests. */
 const MAX_PENDING_REQUESTS = 256;
 
-/** A connection on which nothing came for so many time-outs is closed. */
+/** A connection on which nothing is received for this many request timeouts is closed. */
 const MAX_IDLE_TIMEOUTS = 2;
 
-/** Another controller, and the address at which it listens for peers. */
+/** Another controller and the address of its peer server. */
 export interface PeerAddress {
   node: string;
-  /** Host and port, with a colon between. */
+  /** `host:port`. */
   address: string;
 }
 
-/** What a connection is made from. */
+/** The peer, the settings and the services that a connection uses. */
 export interface PeerConnectionDependencies {
   readonly peer: PeerAddress;
-  /** How long to wait for a reply where a request does not say otherwise. */
+  /** How long to wait for a reply, in milliseconds, unless a request sets its own timeout. */
   readonly timeoutMs: number;
   readonly log: Logger;
-  /** Where views of links come from and go to now; null while the link monitor is off. */
+  /** The current source and destination of link views; null while the link monitor is off. */
   readonly viewExchange: () => LinkViewExchange | null;
 }
 
@@ -34,7 +34,7 @@
   readonly reject: (error: PeerUnreachableError) => void;
 }
 
-/** A connection that is made when it is needed, and made again after it was closed. */
+/** A connection that is opened by the first request, and reopened by the next request after it is closed. */
 export class PeerConnection {
   private socket: Socket | null = null;
   private nextRequestId = 1;
@@ -44,7 +44,7 @@
 
   constructor(private readonly dependencies: PeerConnectionDependencies) {}
 
-  /** When a frame last came from the peer; steady time. */
+  /** When the last frame was received from the peer, steady time in milliseconds; -Infinity if there was none. */
   get lastResponseAt(): number {
     return this.lastFrameReceivedAt;
   }
@@ -52,7 +52,8 @@
   /**
    * Sends a request and waits for its reply.
    *
-   * @throws {PeerUnreachableError} where no reply comes in time
+   * @throws {PeerUnreachableError} if no reply is received in time, the connection closes, or too many requests are
+   *   pending
    */
   request(request: PeerRequest, timeoutMs = this.dependencies.timeoutMs): Promise<PeerReply> {
     return new Promise((resolve, reject) => {
@@ -69,7 +70,7 @@
     });
   }
 
-  /** Closes the connection; pending requests fail. */
+  /** Closes the connection; all pending requests are rejected. */
   close(): void {
     this.socket?.destroy();
   }
@@ -92,8 +93,8 @@
   }
 
   private onTimeout(id: number): void {
-    // Whatever is still under way on a connection on which nothing comes may be held by a cut: a new one is made. A peer
-    // that is only slow keeps its connection, or it would never get to reply to anybody.
+    // A connection without any inbound data may be stuck in a network partition, so it is closed and the next request
+    // opens a new one. A peer that is merely slow keeps its connection; otherwise its late replies would never arrive.
     const idleSince = Math.max(this.lastFrameReceivedAt, this.connectedAt);
     if (performance.now() - idleSince > MAX_IDLE_TIMEOUTS * this.dependencies.timeoutMs)
       this.socket?.destroy();
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -1,21 +1,21 @@
-/** The messages between controllers: requests, replies, and what they carry. */
+/** The messages that controllers exchange: requests, replies and their contents. */
 import type { InstancePool } from "../cloud/instance-pool.js";
 
-/** Tasks that need machines: what each takes, where it may run, and how many. */
+/** A number of equal tasks that need machines: the resources of one task and where it may run. */
 export interface Demand {
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Empty: any. */
+  /** Allowed machine types; empty for any. */
   types: string[];
-  /** Empty: any. */
+  /** The only allowed zone; empty for any. */
   zone: string;
   spot: boolean;
   count: number;
   priority: string;
 }
 
-/** Whether machines of a pool may run such tasks. */
+/** Whether the tasks of a demand may run on machines of a pool: machine type, zone and use of spot machines match. */
 export function allowsPool(demand: Demand, pool: InstancePool): boolean {
   return (
     (demand.types.length === 0 || demand.types.includes(pool.type)) &&
@@ -25,115 +25,116 @@
 }
 
 /**
- * What a machine's owner knows of it. `booting`: it has never sent a heartbeat. `awaiting_heartbeat`: it has sent one to
- * an earlier owner, and none to this one yet. `lease_expired`: also where responses do not reach it.
+ * A machine's state as seen by its owner. `booting`: it has never sent a heartbeat. `awaiting_heartbeat`: it has sent
+ * heartbeats to an earlier owner, but none to this one yet. `lease_expired`: its lease has expired, or its heartbeats
+ * arrive but the responses do not reach it.
  */
 export type MachineCondition =
   "booting" | "awaiting_heartbeat" | "idle" | "busy" | "lease_expired" | "quarantined" | "draining";
 
-/** One machine as its owner sees it. */
+/** The state of one machine as reported by its owner. */
 export interface MachineSummary {
   host: string;
   state: MachineCondition;
-  /** For how long it has been in this state; 0 where that does not matter. */
+  /** How long it has been in this state, in milliseconds; 0 for states whose duration is not used. */
   stateForMs: number;
-  /** How many heartbeats in a row had no task. */
+  /** The number of consecutive heartbeats without a task. */
   emptyHeartbeats: number;
 }
 
-/** How full a shard is. */
+/** The capacity of a shard and how much of it is used. */
 export interface ShardLoad {
   machinesUp: number;
-  /** Machines that are up and have no task. */
+  /** Machines that are up and run no task. */
   emptyMachines: number;
-  /** The processors of all machines that are up. */
+  /** Processors of all machines that are up. */
   cpus: number;
   usedCpus: number;
-  /** The processors that waiting tasks need. */
+  /** Processors required by waiting tasks. */
   waitingCpus: number;
 }
 
-/** The load of one shard. */
+/** The load of a shard, with the shard's number. */
 export interface ShardLoadReport {
   shard: number;
   load: ShardLoad;
 }
 
-/** Free capacity on one machine, and which pool it is of. */
+/** The free capacity of one machine, with the instance pool that the machine belongs to. */
 export interface FreeCapacity extends InstancePool {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** A job that has not begun and has waited for long, and what one task of it needs. */
+/** A job that has not started after a long wait, and the demand of one of its tasks. */
 export interface MigrationCandidate {
   job: string;
   task: Demand;
   waitedMs: number;
 }
 
-/** What an owner reports to the leader once a second. */
+/** A shard's state, which its owner reports to the leader once a second. */
 export interface ShardSummary extends ShardLoadReport {
   /** The owner's fencing token. */
   token: number;
-  /** Whether all machines are reconciled, or their leases surely over. */
+  /** Whether each machine has been reconciled or its lease has certainly expired, so that the summary is complete. */
   recovered: boolean;
   demand: Demand[];
   machines: MachineSummary[];
-  /** The largest free capacity in each pool that nothing of this shard takes. */
+  /** For each pool, the largest free capacity on one machine that no task of this shard uses. */
   freeCapacity: FreeCapacity[];
-  /** Jobs that may migrate to a shard with capacity for them, the longest waiting first. */
+  /** Jobs that may migrate to a shard with capacity for them, in descending order of waiting time. */
   migrationCandidates: MigrationCandidate[];
 }
 
-/** Select machines for removal: their owner stops placing on them. */
+/** Selects machines for removal; their owner stops placing tasks on them. */
 interface DrainMachinesRequest {
   shard: number;
   hosts: string[];
 }
 
-/** Transfer empty machines to another shard. */
+/** Asks the owner to transfer empty machines to another shard. */
 interface TransferMachinesRequest {
   shard: number;
   targetShard: number;
   hosts: string[];
 }
 
-/** Cordon one machine that suits a demand, for a shard that has none and can rent none. */
+/** Asks the owner to cordon one machine that satisfies a demand of another shard, which has none and can rent none. */
 interface CordonMachineRequest {
   shard: number;
   targetShard: number;
   demand: Demand;
 }
 
-/** Migrate a job that has not begun to another shard. */
+/** Asks the owner to migrate a job that has not started to another shard. */
 interface MigrateJobRequest {
   shard: number;
   targetShard: number;
   job: string;
 }
 
-/** A job, and the shard that it belongs to. */
+/** Identifies a job and the shard that it belongs to. */
 interface JobReference {
   shard: number;
   job: string;
 }
 
-/** Hand the shard over to another controller. */
+/** Asks the owner to hand the shard over to another controller. */
 interface HandOverRequest {
   shard: number;
   targetNode: string;
 }
 
-/** A worker that follows the owner's token sent its heartbeat to another controller. */
+/** Notifies an owner that a worker with the owner's fencing token sent its heartbeat to another controller. */
 interface MisroutedHeartbeatNotice {
   shard: number;
-  /** The controller that it came to. */
+  /** The controller that received the heartbeat. */
   receivedBy: string;
 }
 
-/** A user's request as it came; the body is JSON, or empty if there is none. */
+/** A user's request as it was received; the body is JSON, or empty if the request had none. */
 interface ForwardedUserRequest {
   method: string;
   path: string;
@@ -146,33 +147,33 @@
   body: string;
 }
 
-/** How many tasks of a job are done and running; zeros where the job's owner is elsewhere. */
+/** The numbers of completed and running tasks of a job; `known` is false and both are 0 if the peer lacks the job. */
 interface TaskCountsReply {
   known: boolean;
   done: number;
   running: number;
 }
 
-/** A request between controllers; the key names its kind. */
+/** A request from one controller to another; the only key is the kind of request. */
 export type PeerRequest =
   | { summary: ShardSummary }
-  /** Whether the peer still replies. */
+  /** Checks whether the peer replies. */
   | { ping: Record<string, never> }
   | { drainMachines: DrainMachinesRequest }
   | { transferMachines: TransferMachinesRequest }
   | { cordonMachine: CordonMachineRequest }
   | { migrateJob: MigrateJobRequest }
-  /** The job's cancellation is durable. */
+  /** Notifies the job's owner that the cancellation is durable. */
   | { jobCancelled: JobReference }
   | { handOver: HandOverRequest }
   | { misroutedHeartbeat: MisroutedHeartbeatNotice }
-  /** How many tasks of the job are done and running. */
+  /** Asks for the numbers of completed and running tasks of the job. */
   | { taskCounts: JobReference }
   | { forwardUserRequest: ForwardedUserRequest }
-  /** The state of the peer's links, for an operator. */
+  /** Asks for the state of the peer's links, for an operator. */
   | { linkStatus: Record<string, never> };
 
-/** The reply to a request between controllers; the key names its kind. */
+/** A reply from one controller to another; the only key is the kind of reply. */
 export type PeerReply =
   | { loads: { shards: ShardLoadReport[] } }
   | { accepted: { hosts: string[] } }
@@ -180,10 +181,10 @@
   | { userResponse: ForwardedUserResponse }
   | { linkReport: { json: string } };
 
-/** One request or reply on a connection between controllers; a reply carries the id of its request. */
+/** A request or reply on a connection between controllers; a reply has the id of its request. */
 export type Frame = (
   { id: number; reply: false; body: PeerRequest } | { id: number; reply: true; body: PeerReply }
 ) & {
-  /** The sender's view of its links, encoded. */
+  /** The sender's encoded view of the state of its links. */
   linkView?: Uint8Array;
 };
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -1,11 +1,11 @@
-/** How a controller exchanges messages with the others. */
+/** The interface through which a controller exchanges messages with the other controllers. */
 import type { PeerReply, PeerRequest } from "./peer-messages.js";
 
-/** Why a request to a peer has no reply. */
+/** Why a request to a peer failed. */
 export type PeerUnreachableReason =
   "unknown_node" | "too_many_pending_requests" | "timed_out" | "connection_closed";
 
-/** A peer did not reply in time, or cannot be reached. */
+/** Thrown when a peer does not reply in time or cannot be reached. */
 export class PeerUnreachableError extends Error {
   override readonly name = "PeerUnreachableError";
 
@@ -18,31 +18,31 @@
   }
 }
 
-/** Replies to another controller's request. */
+/** Handles a request from another controller and resolves to the reply. */
 export type PeerHandler = (request: PeerRequest) => Promise<PeerReply>;
 
-/** Views of links, which are attached to frames that are sent anyway. */
+/** Supplies and receives link views, which are piggybacked on frames between controllers. */
 export interface LinkViewExchange {
-  /** What to attach to the next frame to a controller, if it is time for a view. */
+  /** The encoded view to attach to the next frame to a controller; undefined if none is due yet. */
   nextOutgoingView(node: string): Uint8Array | undefined;
-  /** Handles a view that came, and returns which controller it is from; null if it is dropped. */
+  /** Processes a received view and returns the name of the controller that sent it; null if the view is dropped. */
   receiveView(view: Uint8Array): string | null;
 }
 
-/** The other controllers, and a server for their requests. */
+/** Sends requests to the other controllers and serves theirs. */
 export interface PeerNetwork {
   /**
    * Sends a request and waits for its reply.
    *
-   * @throws {PeerUnreachableError} where no reply comes in time
+   * @throws {PeerUnreachableError} if no reply is received in time or the peer cannot be reached
    */
   request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply>;
-  /** When a frame last came from any peer that was sent a request; steady time. */
+  /** When the last frame was received on any connection that this node opened; steady time in milliseconds. */
   readonly lastResponseAt: number;
-  /** Where views of links come from and go to; null while the link monitor is off. */
+  /** The source and destination of link views; null while the link monitor is off. */
   viewExchange: LinkViewExchange | null;
-  /** Replies to the others' requests from now on; resolves to the port. */
+  /** Starts the server for requests from other controllers; resolves to its port. */
   listen(address: string, handler: PeerHandler): Promise<number>;
-  /** Closes all connections, and stops listening. */
+  /** Stops listening and closes all connections. */
   close(): void;
 }
--- a/src/peers/peer-schema.ts
+++ b/src/peers/peer-schema.ts
@@ -1,17 +1,17 @@
 /**
- * The protobuf schema of the frames between controllers. Numbers and types of the fields stay as they are, since two
- * versions of the program exchange frames during an upgrade; names are not sent, and follow the program.
+ * The protobuf schema of the frames between controllers. Field numbers and types must not change, because two versions
+ * of the program exchange frames during an upgrade. Names are not transmitted, so they match those in the program.
  */
 
-/** The name of the outermost message of the schema. */
+/** The fully qualified name of the top-level message. */
 export const FRAME_TYPE_NAME = "fernpond.Frame";
 
-/** The schema, as protobuf source. */
+/** The schema as proto3 source text. */
 export const PEER_SCHEMA = `
 syntax = "proto3";
 package fernpond;
 
-// One request or one reply; a reply carries the id of its request.
+// One request or one reply; a reply has the id of its request.
 message Frame {
   uint64 id = 1;
   bool reply = 2;
@@ -34,19 +34,20 @@
     LinkStatusQuery link_status = 19;
     LinkStatusReport link_report = 20;
   }
-  // The sender's view of its links (links/link-view.ts), checked apart: one that cannot be read must not cost the frame.
+  // The sender's view of its links (links/link-view.ts). It is decoded separately, so that an invalid view does not
+  // invalidate the frame.
   bytes link_view = 18;
 }
 
-// An operator's command asks for the state of a controller's links; the report is JSON (links/status.ts).
+// An operator's query for the state of a controller's links; the report is JSON (links/status.ts).
 message LinkStatusQuery {}
 message LinkStatusReport { string json = 1; }
 
-// An owner reports to the leader what waits in a shard and how its machines are: the leader scales by it.
+// A shard owner's report to the leader: unmet demand and machine states, on which the leader bases autoscaling.
 message ShardSummary {
   uint32 shard = 1;
   uint64 token = 2;
-  // All machines are reconciled, or their leases surely over: the summary is complete.
+  // Each machine has been reconciled or its lease has certainly expired, so the summary is complete.
   bool recovered = 3;
   repeated Demand demand = 4;
   repeated MachineSummary machines = 5;
@@ -55,7 +56,7 @@
   repeated MigrationCandidate migration_candidates = 8;
 }
 
-// The largest free capacity in a pool that nothing of its own shard takes.
+// For one pool, the largest free capacity on one machine that no task of its own shard uses.
 message FreeCapacity {
   string type = 1;
   string zone = 2;
@@ -65,7 +66,7 @@
   double memory_gb = 6;
 }
 
-// A job that has not begun and has waited for long: it may migrate to a shard that has capacity for it.
+// A job that has not started after a long wait; it may migrate to a shard with capacity for it.
 message MigrationCandidate { string job = 1; Demand task = 2; double waited_ms = 3; }
 
 message ShardLoad {
@@ -78,13 +79,13 @@
 
 message ShardLoadReport { uint32 shard = 1; ShardLoad load = 2; }
 
-// The leader's reply to a summary: the load of all shards. Whoever accepts a job chooses its shard by that.
+// The leader's reply to a summary: the load of all shards. A controller that accepts a job uses it to choose the shard.
 message ShardLoads { repeated ShardLoadReport shards = 1; }
 
-// Whether a peer still replies, asked by a node that cannot follow the records.
+// Checks whether a peer replies; sent by a node whose replica of the records is behind.
 message Ping {}
 
-// Tasks that could run now but for lack of machines.
+// Tasks that are startable but lack machines.
 message Demand {
   double cpus = 1;
   double gpus = 2;
@@ -98,31 +99,32 @@
 
 message MachineSummary {
   string host = 1;
-  // booting, joining, idle, busy, silent, sick or draining: see peer-codec.ts for what the program calls them
+  // One of booting, joining, idle, busy, silent, sick and draining; peer-codec.ts maps these to the program's names.
   string state = 2;
   double state_for_ms = 3;
   uint32 empty_heartbeats = 4;
 }
 
-// The leader selects machines for removal: their owner stops placing on them, durably.
+// The leader selects machines for removal; their owner durably stops placing tasks on them.
 message DrainMachines { uint32 shard = 1; repeated string hosts = 2; }
-// The leader requests an owner to transfer empty machines to another shard.
+// The leader asks an owner to transfer empty machines to another shard.
 message TransferMachines { uint32 shard = 1; uint32 target_shard = 2; repeated string hosts = 3; }
-// The leader requests an owner to cordon one machine that suits, for a shard that has none and can rent none.
+// The leader asks an owner to cordon one suitable machine for a shard that has none and can rent none.
 message CordonMachine { uint32 shard = 1; uint32 target_shard = 2; Demand demand = 3; }
-// The leader requests an owner to migrate a job that has not begun to a shard that has capacity for it.
+// The leader asks an owner to migrate a job that has not started to a shard with capacity for it.
 message MigrateJob { uint32 shard = 1; uint32 target_shard = 2; string job = 3; }
-// The leader requests an owner to hand the whole shard over to another controller.
+// The leader asks an owner to hand the whole shard over to another controller.
 message HandOver { uint32 shard = 1; string target_node = 2; }
-// A worker that follows an owner's token came to another controller: it may not reach its owner any more.
+// A worker with the owner's fencing token sent its heartbeat to another controller: it may no longer reach its owner.
 message MisroutedHeartbeat { uint32 shard = 1; string received_by = 2; }
 message Accepted { repeated string hosts = 1; }
 
-// A user's request that a controller cannot answer, as it came; the peer answers itself or with 503.
+// A user's request that the sender cannot answer, as it was received. The peer answers it itself or responds with 503;
+// it does not forward the request again.
 message ForwardedUserRequest { string method = 1; string path = 2; string body = 3; }
 message UserResponse { uint32 status = 1; string body = 2; }
 
-// A job's cancellation is durable: its owner need not wait until the watch shows it.
+// A job's cancellation is durable; the notice lets the owner act before its watch delivers the change.
 message JobCancelled { uint32 shard = 1; string job = 2; }
 
 message TaskCountsQuery { uint32 shard = 1; string job = 2; }
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** The server side of connections between controllers: requests in, replies out. */
+/** The server side of connections between controllers: receives requests and sends replies. */
 import { createServer, type Server, type Socket } from "node:net";
 import { pipeline, Writable } from "node:stream";
 import { listenOn } from "../runtime/listen.js";
@@ -8,18 +8,18 @@
 import type { Frame } from "./peer-messages.js";
 import type { LinkViewExchange, PeerHandler } from "./peer-network.js";
 
-/** How many requests of one peer are handled at a time. */
+/** The most requests that are handled concurrently for one connection. */
 const MAX_CONCURRENT_REQUESTS = 32;
 
-/** What a server is made from. */
+/** The request handler and the services that a server uses. */
 export interface PeerServerDependencies {
   readonly handler: PeerHandler;
   readonly log: Logger;
-  /** Where views of links come from and go to now; null while the link monitor is off. */
+  /** The current source and destination of link views; null while the link monitor is off. */
   readonly viewExchange: () => LinkViewExchange | null;
 }
 
-/** Handles the requests of all controllers that connect. */
+/** Accepts connections from other controllers and handles their requests. */
 export class PeerServer {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
@@ -30,12 +30,12 @@
     });
   }
 
-  /** Begins to listen, and resolves to the port. */
+  /** Starts listening; resolves to the port. */
   listen(address: string): Promise<number> {
     return listenOn(this.server, address, this.dependencies.log);
   }
 
-  /** Stops listening, and closes all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     for (const socket of this.sockets) socket.destroy();
@@ -54,8 +54,8 @@
 }
 
 /**
- * Handles the requests of one connection, so many at a time: a slow one delays no other, and a peer that sends requests
- * faster than they are replied to feels it as backpressure.
+ * Handles the requests of one connection concurrently, up to `MAX_CONCURRENT_REQUESTS`. A slow request delays no other
+ * below that limit; a peer that sends requests faster than they are handled is slowed down by backpressure.
  */
 class ConcurrentRequestHandler extends Writable {
   private inProgress = 0;
@@ -70,7 +70,7 @@
 
   override _write(frame: Frame, _encoding: string, done: (error?: Error) => void): void {
     if (frame.reply) {
-      done(new FrameError("a reply to no request"));
+      done(new FrameError("received a reply on a connection that only accepts requests"));
       return;
     }
     this.inProgress++;
@@ -81,7 +81,7 @@
 
   private handle({ id, body: request, linkView: requestView }: Extract<Frame, { reply: false }>): void {
     const { handler, viewExchange } = this.dependencies;
-    // The reply carries a view where the request did, since only then its sender is known.
+    // A view is attached to the reply only if the request had one, because the sender is known only from its view.
     const sender = requestView ? viewExchange()?.receiveView(requestView) : null;
     handler(request)
       .then((body) => {
--- a/src/peers/tcp-peer-network.ts
+++ b/src/peers/tcp-peer-network.ts
@@ -1,4 +1,4 @@
-/** The other controllers over TCP: a connection to each, and a server for theirs. */
+/** The peer network over TCP. */
 import type { Logger } from "../runtime/log.js";
 import { PeerConnection, type PeerAddress } from "./peer-connection.js";
 import type { PeerReply, PeerRequest } from "./peer-messages.js";
@@ -10,13 +10,13 @@
 } from "./peer-network.js";
 import { PeerServer } from "./peer-server.js";
 
-/** Connections to all other controllers, and the server for theirs. */
+/** Keeps a client connection to each other controller, and a server for their connections. */
 export class TcpPeerNetwork implements PeerNetwork {
   viewExchange: LinkViewExchange | null = null;
   private readonly connections: Map<string, PeerConnection>;
   private server: PeerServer | null = null;
 
-  /** @param timeoutMs how long to wait for a reply where a request does not say otherwise */
+  /** @param timeoutMs how long to wait for a reply, in milliseconds, unless a request sets its own timeout */
   constructor(
     peers: PeerAddress[],
     timeoutMs: number,
@@ -31,7 +31,7 @@
   /**
    * Sends a request to a peer.
    *
-   * @throws PeerUnreachableError where the peer does not answer in time, or is not in the settings
+   * @throws {PeerUnreachableError} if the peer does not reply in time, cannot be reached, or is not in the settings
    */
   async request(node: string, request: PeerRequest, timeoutMs?: number): Promise<PeerReply> {
     const connection = this.connections.get(node);
@@ -39,12 +39,12 @@
     return connection.request(request, timeoutMs);
   }
 
-  /** When any peer last answered; steady time in milliseconds. */
+  /** When the last frame was received from any peer; steady time in milliseconds, -Infinity if there was none. */
   get lastResponseAt(): number {
     return Math.max(...[...this.connections.values()].map((connection) => connection.lastResponseAt));
   }
 
-  /** Listens to peers' requests; resolves to the port. */
+  /** Starts the server for requests from peers; resolves to its port. */
   listen(address: string, handler: PeerHandler): Promise<number> {
     this.server = new PeerServer({ handler, log: this.log, viewExchange: () => this.viewExchange });
     return this.server.listen(address);
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,7 +1,7 @@
-/** The cloud's messages, about machine types, rentals and the machine list: section "Controller nodes -> cloud". */
+/** Messages of the cloud API (machine types, rentals, machine list): section "Controller nodes -> cloud". */
 import * as z from "zod";
 
-/** A type of machines that the cloud rents. */
+/** A machine type that the cloud offers. */
 export interface MachineType {
   name: string;
   /** Processors. */
@@ -10,11 +10,11 @@
   gpus: number;
   /** Memory in gigabytes. */
   memoryGb: number;
-  /** Space for cached images, in gigabytes. */
+  /** Capacity of the image cache, in gigabytes. */
   cacheGb: number;
   /** The rate at which images are fetched, in gigabytes per second. */
   fetchGbPerS: number;
-  /** The price of an ordinary machine per hour. */
+  /** The price of an on-demand machine per hour. */
   price: number;
   /** The price of a spot machine per hour. */
   spotPrice: number;
@@ -24,7 +24,7 @@
   zones: string[];
 }
 
-/** A machine in the cloud's list. */
+/** An entry of the cloud's machine list. */
 export interface ListedMachine {
   host: string;
   /** The name of its machine type. */
@@ -36,15 +36,15 @@
   ageS: number;
 }
 
-/** A request for machines. */
+/** A request to rent machines. */
 export interface RentalRequest {
-  /** The idempotency key: a repeated request rents nothing more. Never used for another request. */
+  /** The idempotency key: repeating the request rents no further machines. Must not be reused for another request. */
   name: string;
   /** The name of the machine type. */
   type: string;
   zone: string;
   spot: boolean;
-  /** At most MAX_RENTAL. */
+  /** The number of machines, at most `MAX_RENTAL`. */
   count: number;
 }
 
@@ -89,7 +89,7 @@
   .object({ breeds: z.array(machineTypeSchema) })
   .transform((catalogue) => catalogue.breeds);
 
-/** The response to "POST /rentals": the hosts that were rented. */
+/** The response to "POST /rentals": the host names of the rented machines. */
 export const rentalSchema = z.object({ hosts: z.array(hostName) }).transform((rental) => rental.hosts);
 
 const listedMachineSchema = z
@@ -110,7 +110,7 @@
     ageS: machine.heldS,
   }));
 
-/** The response to "GET /rentals": one page of the machine list, and whether another follows. */
+/** The response to "GET /rentals": one page of the machine list, and whether more pages follow. */
 export const machineListSchema = z
   .object({ hosts: z.array(listedMachineSchema), truncated: z.boolean().nullish() })
   .transform((list) => ({ machines: list.hosts, more: list.truncated === true }));
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -1,6 +1,6 @@
 /**
- * The protocol's messages, paths and limits. The protocol's own names of fields occur only in this folder, which maps
- * them to the names of the glossary. Clients import it as `fernpond/wire`; it imports nothing else of this project.
+ * The protocol's messages, paths and limits. Only this directory uses the protocol's field names; it maps them to the
+ * names of the glossary. Clients import it as `fernpond/wire`, so it must not depend on the rest of the project.
  */
 
 export * from "./parsing.js";
--- a/src/wire/parsing.ts
+++ b/src/wire/parsing.ts
@@ -1,18 +1,18 @@
-/** Checks messages against their schemas, with one-line errors. */
+/** Schema validation of messages with one-line errors. */
 import type * as z from "zod";
 
-/** A checked message, or what is wrong with it. */
+/** A valid message, or the first validation error. */
 export type Parsed<T> =
   | { ok: true; value: T }
   | {
       ok: false;
-      /** The wrong field, its path joined by dots; null where the whole message is wrong. */
+      /** The dotted path of the invalid field; null if the message as a whole is invalid. */
       field: string | null;
-      /** One line that names the field. */
+      /** A one-line description that starts with the field. */
       error: string;
     };
 
-/** Checks an input against a schema, and describes the first fault in one line that names the field. */
+/** Validates an input against a schema; on failure reports the first invalid field. */
 export function parseWith<T>(schema: z.ZodType<T>, input: unknown): Parsed<T> {
   const result = schema.safeParse(input);
   if (result.success) return { ok: true, value: result.data };
--- a/src/wire/paths.ts
+++ b/src/wire/paths.ts
@@ -1,6 +1,6 @@
-/** The paths of all services: the section titles of the protocol. */
+/** The request paths of all services, as in the section titles of the protocol. */
 
-/** Appends the parameters that are not undefined to a path. */
+/** Appends a query string to a path; parameters that are undefined are left out. */
 function withQuery(path: string, parameters: Record<string, string | number | undefined>): string {
   const query = Object.entries(parameters)
     .filter(([, value]) => value !== undefined)
@@ -9,15 +9,15 @@
   return query === "" ? path : `${path}?${query}`;
 }
 
-/** Where controllers, the cloud and the state service answer. */
+/** The paths served by controllers, the cloud and the state service. */
 export const paths = {
   /** "GET /up": the load balancer's health check. */
   health: "/up",
   /** "POST /work": submits a job. */
   submit: "/work",
-  /** "GET /work/{id}": a job's status; captures the id. */
+  /** "GET /work/{id}": returns a job's status; the pattern captures the id. */
   job: /^\/work\/([^/]+)$/,
-  /** "POST /work/{id}/withdraw": cancels a job; captures the id. */
+  /** "POST /work/{id}/withdraw": cancels a job; the pattern captures the id. */
   cancel: /^\/work\/([^/]+)\/withdraw$/,
   /** "POST /agent/beat": a worker's heartbeat. */
   heartbeat: "/agent/beat",
@@ -29,23 +29,23 @@
     rent: "/rentals",
     /** POST: returns machines. */
     returnMachines: "/rentals/return",
-    /** GET: one page of the machine list, beginning after a host. */
+    /** GET: one page of the machine list, starting after a host (undefined: the first page). */
     list: (after: string | undefined, limit: number) => withQuery("/rentals", { since: after, limit }),
   },
   /** Section "Controller nodes -> state service". */
   state: {
-    /** GET: the value of one key, whose slashes are not escaped. */
+    /** GET: the value of a key; slashes in the key are not escaped. */
     value: (key: string) => `/kv/${key}`,
-    /** GET: one page of the entries with a prefix, beginning after a key. */
+    /** GET: one page of the entries with a prefix, starting after a key (undefined: the first page). */
     page: (prefix: string, after: string | undefined, limit: number) =>
       withQuery("/kv", { starts: prefix, since: after, limit }),
-    /** POST: a transaction. */
+    /** POST: executes a transaction. */
     transaction: "/multi",
     /** POST: grants a lease. */
     leases: "/grants",
     /** POST: renews a lease. */
     renew: (lease: number) => `/grants/${lease}/renew`,
-    /** DELETE: ends a lease. */
+    /** DELETE: revokes a lease. */
     lease: (lease: number) => `/grants/${lease}`,
     /** GET: waits up to `waitMs` milliseconds for changes after a revision. */
     changes: (prefix: string, since: number, waitMs: number) =>
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,7 +1,7 @@
-/** The state service's messages: section "Controller nodes -> state service" of the protocol. */
+/** Messages of the state service: section "Controller nodes -> state service" of the protocol. */
 import * as z from "zod";
 
-/** A record. */
+/** A record as stored: its key, value and version. */
 export interface RecordEntry {
   key: string;
   value: unknown;
@@ -9,26 +9,26 @@
   version: number;
 }
 
-/** A change of a record. */
+/** A change to a record, as delivered by a watch. */
 export interface RecordChange {
   key: string;
-  /** Undefined where the record was removed. */
+  /** The new value; undefined if the record was removed. */
   value: unknown;
   /** The revision of the change. */
   version: number;
 }
 
-/** A condition of a transaction. */
+/** A precondition of a transaction. */
 export interface Condition {
   key: string;
-  /** The version that the key must have; 0 means that it must not exist. */
+  /** The version that the key must have; 0 requires that the key does not exist. */
   version: number;
 }
 
-/** One write of a transaction; a value that is put with a lease is removed when the lease ends. */
+/** A write in a transaction. A value that is put with a lease is removed when the lease ends. */
 export type Write = { put: string; value: unknown; lease?: number } | { remove: string };
 
-/** A revision of the store, or the version of a key; also the id of a lease. */
+/** A store revision, a key's version or a lease id. */
 const revisionNumber = z.int().nonnegative();
 
 const entrySchema = z
@@ -40,7 +40,7 @@
   .object({ value: z.unknown(), stamp: revisionNumber })
   .transform(({ value, stamp }) => ({ value, version: stamp }));
 
-/** The response to "GET /kv": one page of entries, whether another follows, and the store's revision. */
+/** The response to "GET /kv": one page of entries, whether more pages follow, and the store's revision. */
 export const pageSchema = z
   .object({ items: z.array(entrySchema), truncated: z.boolean().nullish(), epoch: revisionNumber })
   .transform((page) => ({ entries: page.items, more: page.truncated === true, revision: page.epoch }));
@@ -53,15 +53,15 @@
   .object({ remove: z.string(), stamp: revisionNumber })
   .transform((event): RecordChange => ({ key: event.remove, value: undefined, version: event.stamp }));
 
-/** The response to "GET /changes": the changes, and the store's revision after them. */
+/** The response to "GET /changes": the changes, and the store's revision after the last of them. */
 export const changesSchema = z
   .object({ epoch: revisionNumber, events: z.array(z.union([putSchema, removeSchema])) })
   .transform(({ epoch, events }) => ({ revision: epoch, changes: events }));
 
-/** The store's revision, in the response to a transaction that was executed and to a read of a key that is not there. */
+/** The store's revision, in the response to a committed transaction and to a read of a key that does not exist. */
 export const revisionSchema = z.object({ epoch: revisionNumber }).transform(({ epoch }) => epoch);
 
-/** The response to a transaction that failed: the keys whose conditions do not hold. */
+/** The response to a rejected transaction: the keys whose preconditions failed. */
 export const failedConditionsSchema = z
   .object({ failed: z.array(z.string()) })
   .transform(({ failed }) => failed);
@@ -82,7 +82,7 @@
   return { put: write.put, value: write.value, ...(write.lease === undefined ? {} : { hold: write.lease }) };
 }
 
-/** The body of "POST /grants"; `ttlMs` is the lease's time to live in milliseconds. */
+/** The body of "POST /grants"; `ttlMs` is the time to live of the lease, in milliseconds. */
 export function leaseToWire(ttlMs: number): object {
   return { lifeMs: ttlMs };
 }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,30 +1,30 @@
-/** What users send and get back, submissions and job states: section "Users -> controller nodes" of the protocol. */
+/** Messages of users (job submissions, job status): section "Users -> controller nodes" of the protocol. */
 import * as z from "zod";
 import { parseWith, type Parsed } from "./parsing.js";
 
-/** All priorities, from the lowest to the highest; section "Preemption". */
+/** All priorities in ascending order; section "Preemption" of the protocol. */
 export const PRIORITIES = ["best_effort", "normal", "urgent", "critical"] as const;
 
-/** The priority of a job, see PRIORITIES. */
+/** The priority of a job, one of `PRIORITIES`. */
 export type Priority = (typeof PRIORITIES)[number];
 
-/** A job as it was submitted, in the names of this program; "POST /work". */
+/** A job's specification as submitted with "POST /work", in the program's own field names. */
 export interface JobSpec {
-  /** Unique, chosen by the user. */
+  /** A unique id chosen by the user. */
   id: string;
-  /** The class of jobs that it belongs to, which the objectives in the settings refer to. */
+  /** The job class, to which the objectives in the settings refer. */
   className: string;
   team: string;
   priority: Priority;
-  /** The number of tasks, numbered from 0. */
+  /** The number of tasks; their indexes start at 0. */
   tasks: number;
-  /** Processors for one task. */
+  /** Processors per task. */
   cpus: number;
-  /** GPUs for one task. */
+  /** GPUs per task. */
   gpus: number;
-  /** Memory for one task, in gigabytes. */
+  /** Memory per task, in gigabytes. */
   memoryGb: number;
-  /** The image that a machine must have before a task can start. */
+  /** The image that a machine must have fetched before a task can start. */
   image: string;
   /** The size of the image, in gigabytes. */
   imageGb: number;
@@ -38,36 +38,36 @@
   spread: boolean;
   /** Whether the job may use spot machines. */
   spot: boolean;
-  /** The user's estimate of a task's run time without the image fetch, in seconds. */
+  /** The user's estimate of a task's run time, excluding the image fetch, in seconds. */
   estimateS: number;
-  /** The progress after which a running task saves a checkpoint, in seconds; 0: it never saves. */
+  /** The run time between a task's checkpoints, in seconds; 0: it saves none. */
   checkpointS: number;
-  /** The time that a task needs to save when it is stopped, in seconds. */
+  /** The time that a task needs to save a checkpoint when it is stopped, in seconds. */
   saveS: number;
-  /** When the job should be complete, in seconds after its submission; null: no deadline. */
+  /** The deadline for completion, in seconds after the submission; null: none. */
   deadlineS: number | null;
 }
 
-/** A job's stage. */
+/** The stage of a job's life cycle; `done` and `cancelled` are final. */
 export type JobStage = "pending" | "running" | "done" | "cancelled";
 
-/** A job's status; "GET /work/{id}". */
+/** A job's status as reported by "GET /work/{id}". */
 export interface JobStatus {
   id: string;
   stage: JobStage;
-  /** The number of completed tasks, for display. */
+  /** The number of completed tasks; informational. */
   done: number;
-  /** The number of running tasks, for display. */
+  /** The number of running tasks; informational. */
   running: number;
 }
 
-/** Every job should begin within this time after it was accepted, in seconds, whatever else is asked for. */
+/** The time after acceptance within which every job should start, regardless of other load, in seconds. */
 export const MAX_START_DELAY_S = 240;
-/** The longest that a job should wait while a fitting machine has free capacity and its team is under its limit, in seconds. */
+/** The longest a job should wait if a suitable machine has free capacity and its team is within quota, in seconds. */
 export const MAX_WAIT_WITH_FREE_CAPACITY_S = 90;
-/** The most tasks of one job; field `pieces` of "POST /work". */
+/** The most tasks of one job: the upper bound of field `pieces` of "POST /work". */
 export const MAX_TASKS = 100_000;
-/** The longest body of a request to a controller, in bytes; section "The protocols of fernpond". */
+/** The maximum size of a request body sent to a controller, in bytes; section "The protocols of fernpond". */
 export const MAX_BODY_BYTES = 64 * 1024;
 
 const jobIdSchema = z.string().regex(/^req-\d{1,32}$/, "must look like req-000412");
@@ -119,17 +119,17 @@
     deadlineS: submission.dueS ?? null,
   }));
 
-/** Checks the body of "POST /work". */
+/** Validates the body of "POST /work". */
 export function parseSubmission(input: unknown): Parsed<JobSpec> {
   return parseWith(submissionSchema, input);
 }
 
-/** Whether a text has the form of a job id. */
+/** Whether a text has the format of a job id. */
 export function isJobId(text: string): boolean {
   return jobIdSchema.safeParse(text).success;
 }
 
-/** The protocol's name of a job's stage. */
+/** Maps a job's stage to its name in the protocol. */
 export function stageToWire(stage: JobStage): string {
   return stage === "cancelled" ? "aborted" : stage;
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,65 +1,65 @@
-/** Heartbeats of workers and the commands that answer them: section "Workers -> controller nodes" of the protocol. */
+/** Worker heartbeats and the commands in their responses: section "Workers -> controller nodes" of the protocol. */
 import * as z from "zod";
 import { parseWith, type Parsed } from "./parsing.js";
 
-/** A task's state as its worker reports it. */
+/** A task's state as reported by its worker. */
 export type TaskState = "fetching" | "running" | "saving" | "exited";
 
 /**
- * Why a task ended. `stopped`: by command; `no_room`: its machine had too little free capacity; `busy`: another attempt of
- * the task was on the machine; `unknown`: the worker found no such task.
+ * Why a task ended. `stopped`: by a stop command; `no_room`: its machine lacked free capacity; `busy`: another attempt
+ * of the task was on the machine; `unknown`: the worker does not know the task.
  */
 export type ExitCause = "done" | "stopped" | "error" | "no_room" | "busy" | "unknown";
 
-/** One task in a heartbeat. */
+/** The status of one task attempt in a heartbeat. */
 export interface TaskStatus {
   job: string;
-  /** The task's number within its job. */
+  /** The task's index within its job. */
   index: number;
   attempt: number;
   state: TaskState;
-  /** Null unless the task has exited. */
+  /** Why the task ended; null unless its state is `exited`. */
   cause: ExitCause | null;
-  /** Whether a stopped task has saved its progress. */
+  /** Whether a stopped task saved its progress. */
   saved: boolean;
 }
 
-/** A worker's message: its machine and all tasks on it; "POST /agent/beat". */
+/** A worker's heartbeat, sent with "POST /agent/beat": the machine and the status of all tasks on it. */
 export interface Heartbeat {
   host: string;
-  /** Where the worker listens, host:port. */
+  /** The address at which the worker listens, `host:port`. */
   address: string;
-  /** The name of the machine's type. */
+  /** The name of the machine type. */
   type: string;
   zone: string;
   spot: boolean;
-  /** Starts at 1 and increases with each expiry of the worker's lease. */
+  /** Starts at 1 and increases each time the worker's lease expires. */
   epoch: number;
-  /** Increases with every message of the worker within an epoch. */
+  /** Increases with every heartbeat within an epoch. */
   sequence: number;
   /** The highest fencing token that the worker has seen. */
   highestToken: number;
-  /** Seconds until the cloud takes the machine away; null without a notice of that. */
+  /** Seconds until the cloud reclaims the machine; null if there is no interruption notice. */
   interruptionNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
-/** What a worker is to do with one task attempt; `graceS` is the time in seconds that a task may take to save. */
+/** A command for one task attempt; `graceS` is the time in seconds that the task is given to save a checkpoint. */
 export type WorkerCommand =
   | { op: "start"; job: string; index: number; attempt: number }
   | { op: "stop"; job: string; index: number; attempt: number; graceS: number }
   | { op: "forget"; job: string; index: number; attempt: number };
 
-/** How long a worker waits for the answer to a heartbeat before it drops it, in seconds; table of responses. */
+/** How long a worker waits for the response to a heartbeat before it gives up, in seconds; table of responses. */
 export const HEARTBEAT_TIMEOUT_S = 4;
-/** The most that the steady clocks of two machines drift apart, as a ratio; section "The protocols of fernpond". */
+/** The maximum relative drift between the steady clocks of two machines; section "The protocols of fernpond". */
 export const CLOCK_DRIFT = 0.0005;
-/** The most tasks in one heartbeat that are accepted; a limit of ours. */
+/** The most tasks accepted in one heartbeat; this limit is not part of the protocol. */
 const MAX_HEARTBEAT_TASKS = 10_000;
 
 const nonNegativeInteger = z.int().nonnegative();
 
-/** Exit causes by the names of the protocol. */
+/** Maps the protocol's names of exit causes to the program's. */
 const EXIT_CAUSE_BY_WIRE_NAME: Record<string, ExitCause> = {
   done: "done",
   halted: "stopped",
@@ -84,7 +84,7 @@
       index: Number(task.piece.slice(slash + 1)),
       attempt: task.try,
       state: task.stage,
-      // An unknown cause is a failure of some kind: the task has to run again.
+      // A cause that is not in the table counts as a failure, so that the task runs again.
       cause: task.stage === "exited" ? (EXIT_CAUSE_BY_WIRE_NAME[task.cause ?? "error"] ?? "error") : null,
       saved: task.kept === true,
     };
@@ -116,7 +116,7 @@
     tasks: heartbeat.pieces,
   }));
 
-/** Checks the body of "POST /agent/beat". */
+/** Validates the body of "POST /agent/beat". */
 export function parseHeartbeat(input: unknown): Parsed<Heartbeat> {
   return parseWith(heartbeatSchema, input);
 }
@@ -134,12 +134,12 @@
   }
 }
 
-/** The response to a heartbeat, with commands in the order of their execution. */
+/** The response to a heartbeat; the worker executes the commands in the given order. */
 export function commandsToWire(token: number, commands: readonly WorkerCommand[]): object {
   return { baton: token, orders: commands.map(commandToWire) };
 }
 
-/** The response of a controller that does not own the worker's shard; names the owner if it is known. */
+/** The response of a controller that does not own the worker's shard, with the owner's name if it is known. */
 export function redirectToWire(owner: string | null): object {
   return owner === null ? {} : { overseer: owner };
 }
