--- a/src/autoscaling/autoscaler-dependencies.ts
+++ b/src/autoscaling/autoscaler-dependencies.ts
@@ -12,11 +12,11 @@
 /** What the autoscaler needs of the rest of the process. */
 export interface AutoscalerCallbacks {
   /** The version of the record that makes this process the leader, or null. */
-  leadership(): number | null;
+  leaderVersion(): number | null;
   /** Sends a request to the owner of a shard, this process included. */
   requestOwner(shard: number, request: PeerRequest): Promise<PeerReply>;
   /** Whether rentals and returns may be recorded and sent now, as far as links go. */
-  mayCallCloud(): boolean;
+  canCallCloud(): boolean;
 }
 
 /** What an autoscaler is made from. */
--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -18,7 +18,7 @@
 export class Autoscaler extends Actor<AutoscalerMessage> {
   private readonly reconciler: Reconciler;
   private isLeading = false;
-  private passRunning = false;
+  private isPassRunning = false;
   private lastPassAt = -Infinity;
 
   constructor(private readonly dependencies: AutoscalerDependencies) {
@@ -31,7 +31,7 @@
     switch (message.kind) {
       case "summary":
         this.reconciler.summaries.add(message.summary, clock());
-        message.reply(callbacks.leadership() !== null);
+        message.reply(callbacks.leaderVersion() !== null);
         return;
       case "unknown_machine":
         this.reconciler.registration.receiveHeartbeat(message.heartbeat);
@@ -40,7 +40,7 @@
         this.startPass();
         return;
       case "pass_done":
-        this.passRunning = false;
+        this.isPassRunning = false;
         return;
     }
   }
@@ -48,7 +48,7 @@
   private startPass(): void {
     const { clock, callbacks, operator } = this.dependencies;
     const now = clock();
-    const leaderVersion = callbacks.leadership();
+    const leaderVersion = callbacks.leaderVersion();
     if (leaderVersion === null) {
       this.isLeading = false;
       this.reconciler.endTerm();
@@ -56,8 +56,8 @@
     }
     if (!this.isLeading) this.reconciler.beginTerm(now);
     this.isLeading = true;
-    if (this.passRunning || now - this.lastPassAt < operator.passSpacingMs) return;
-    this.passRunning = true;
+    if (this.isPassRunning || now - this.lastPassAt < operator.passSpacingMs) return;
+    this.isPassRunning = true;
     this.lastPassAt = now;
     this.reconciler
       .reconcile(leaderVersion, now)
--- a/src/autoscaling/demand-record.ts
+++ b/src/autoscaling/demand-record.ts
@@ -33,7 +33,7 @@
 export type DemandRecord = z.infer<typeof recordSchema>;
 
 /** What a record takes besides its demand, with the longest token. */
-const HEADER_BYTES = 128;
+const FIXED_FIELDS_BYTES = 128;
 
 /** What stands between two elements of a list. */
 const SEPARATOR_BYTES = 1;
@@ -44,14 +44,14 @@
  * recorded once the rest has machines.
  */
 export function toDemandRecord({ token, recovered, demand }: ShardSummary, maxBytes: number): DemandRecord {
-  const kept: Demand[] = [];
-  let recordBytes = HEADER_BYTES;
-  for (const group of demand) {
-    recordBytes += Buffer.byteLength(JSON.stringify(group)) + SEPARATOR_BYTES;
+  const included: Demand[] = [];
+  let recordBytes = FIXED_FIELDS_BYTES;
+  for (const entry of demand) {
+    recordBytes += Buffer.byteLength(JSON.stringify(entry)) + SEPARATOR_BYTES;
     if (recordBytes > maxBytes) break;
-    kept.push(group);
+    included.push(entry);
   }
-  return { token, recovered, demand: kept };
+  return { token, recovered, demand: included };
 }
 
 /**
--- a/src/autoscaling/machine-list-reader.ts
+++ b/src/autoscaling/machine-list-reader.ts
@@ -7,14 +7,14 @@
 import type { ReturnedMachines } from "./returned-machines.js";
 
 /** The least time between the beginnings of two lists, as multiples of the list lag and of the pass spacing. */
-const LIST_SPACING_LAGS = 2;
-const LIST_SPACING_PASSES = 10;
+const MIN_LIST_SPACING_LAGS = 2;
+const MIN_LIST_SPACING_PASSES = 10;
 
 /** After so many list lags no list shows a machine any more that was returned. */
-const RETURNED_MACHINE_LAGS = 6;
+const RETURNED_RETENTION_LAGS = 6;
 
 /** A machine younger than so many list lags may be one of a rental whose machines are being recorded. */
-const MIN_AGE_LAGS = 2;
+const MIN_UNREGISTERED_AGE_LAGS = 2;
 
 /** What the reader is made from. */
 export interface MachineListReaderDependencies extends Pick<
@@ -73,18 +73,18 @@
 
   private get listSpacingMs(): number {
     const { passSpacingMs } = this.dependencies.operator;
-    return Math.max(LIST_SPACING_LAGS * this.listLagMs, LIST_SPACING_PASSES * passSpacingMs);
+    return Math.max(MIN_LIST_SPACING_LAGS * this.listLagMs, MIN_LIST_SPACING_PASSES * passSpacingMs);
   }
 
   private addUnregistered(machines: ListedMachine[], now: number): void {
     const { fleet, registration, returnedMachines } = this.dependencies;
-    const returnedMachineMs = RETURNED_MACHINE_LAGS * this.listLagMs;
-    returnedMachines.expire(returnedMachineMs, now);
+    const retentionMs = RETURNED_RETENTION_LAGS * this.listLagMs;
+    returnedMachines.expire(retentionMs, now);
     // A new leader does not know what its predecessor returned; lists show such machines for a while.
-    if (this.termStartedAt === null || now - this.termStartedAt < returnedMachineMs) return;
+    if (this.termStartedAt === null || now - this.termStartedAt < retentionMs) return;
     for (const { host, type, zone, spot, ageS } of machines) {
       if (fleet.get(host) !== undefined || returnedMachines.has(host)) continue;
-      if (ageS * 1000 < MIN_AGE_LAGS * this.listLagMs) continue;
+      if (ageS * 1000 < MIN_UNREGISTERED_AGE_LAGS * this.listLagMs) continue;
       registration.add(host, { type, zone, spot });
     }
   }
--- a/src/autoscaling/machine-listing.ts
+++ b/src/autoscaling/machine-listing.ts
@@ -3,7 +3,7 @@
 
 /** A list in progress is given up, and a machine counts as missing, after so many list lags. */
 const MAX_LIST_LAGS = 2;
-const MISSING_LAGS = 2;
+const MIN_MISSING_LAGS = 2;
 
 /**
  * Above the cloud's limit a list comes in pages, each of another moment, and the design allows one call a pass. So a
@@ -48,15 +48,15 @@
     );
     for (const host of liveHosts) this.missingSince.set(host, null);
     const missingHosts: string[] = [];
-    for (const [host, knownSince] of this.missingSince) {
+    for (const [host, previousSince] of this.missingSince) {
       if (liveHosts.has(host)) continue;
       if (!isRecorded(host)) {
         this.missingSince.delete(host);
         continue;
       }
-      const since = knownSince ?? now;
+      const since = previousSince ?? now;
       this.missingSince.set(host, since);
-      if (now - since >= MISSING_LAGS * this.lagMs) missingHosts.push(host);
+      if (now - since >= MIN_MISSING_LAGS * this.lagMs) missingHosts.push(host);
     }
     return missingHosts;
   }
--- a/src/autoscaling/machine-registration.ts
+++ b/src/autoscaling/machine-registration.ts
@@ -3,7 +3,7 @@
 import { keys } from "../state/keys.js";
 import type { Condition, Heartbeat, Write } from "../wire/index.js";
 import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
-import { machineGroupWrites, type MachineGroupOrigin } from "./machine-group-writes.js";
+import { machineGroupWrites, type MachineGroupAttributes } from "./machine-group-writes.js";
 import type { ReturnedMachines } from "./returned-machines.js";
 import type { UnregisteredMachines } from "./unregistered-machines.js";
 
@@ -18,7 +18,7 @@
 
 /** Machines of one shard and one pool. */
 interface NewGroup {
-  origin: MachineGroupOrigin;
+  attributes: MachineGroupAttributes;
   hosts: string[];
 }
 
@@ -50,7 +50,7 @@
     const { settings, state, log } = this.dependencies;
     const groups = this.assignToShards();
     this.poolsByHost.clear();
-    const writes = groups.flatMap(({ origin, hosts }) =>
+    const writes = groups.flatMap(({ attributes: origin, hosts }) =>
       machineGroupWrites(hosts, origin, settings.state.valueBytes),
     );
     if (writes.length === 0) return;
@@ -79,7 +79,7 @@
       const key = `${shard}/${poolKey(pool)}`;
       const group = groups.get(key);
       if (group) group.hosts.push(host);
-      else groups.set(key, { origin: { ...pool, shard }, hosts: [host] });
+      else groups.set(key, { attributes: { ...pool, shard }, hosts: [host] });
     }
     return [...groups.values()];
   }
--- a/src/autoscaling/machine-type-cache.ts
+++ b/src/autoscaling/machine-type-cache.ts
@@ -58,12 +58,12 @@
     const { state, view } = this.dependencies;
     const key = keys.machineType(type.name);
     const recorded = view.get(key);
-    if (recorded !== undefined && isSameButForSpotPrice(type, recorded.value as MachineType)) return;
+    if (recorded !== undefined && isEqualExceptSpotPrice(type, recorded.value as MachineType)) return;
     await state.compareAndSwap([leaderCondition], [{ put: key, value: type }], "ownership");
   }
 }
 
 /** Spot prices change all the time; only what lasts is worth a write. */
-function isSameButForSpotPrice(type: MachineType, other: MachineType): boolean {
+function isEqualExceptSpotPrice(type: MachineType, other: MachineType): boolean {
   return JSON.stringify({ ...type, spotPrice: 0 }) === JSON.stringify({ ...other, spotPrice: 0 });
 }
--- a/src/autoscaling/pool-refusals.ts
+++ b/src/autoscaling/pool-refusals.ts
@@ -7,7 +7,7 @@
 
 interface Refusal {
   /** Steady time until which nothing is rented there. */
-  until: number;
+  retryAt: number;
   backoffMs: number;
 }
 
@@ -16,19 +16,19 @@
   private readonly refusals = new Map<string, Refusal>();
 
   /** Whether the back-off of a pool is still running. */
-  hasRefusedLately(pool: InstancePool, now: number): boolean {
+  isInBackoff(pool: InstancePool, now: number): boolean {
     const refusal = this.refusals.get(poolKey(pool));
-    return refusal !== undefined && refusal.until > now;
+    return refusal !== undefined && refusal.retryAt > now;
   }
 
   /** Records that a pool gave fewer machines than ordered: each time in a row doubles the back-off. */
-  recordRefusal(pool: InstancePool, usualBootMs: number, now: number): void {
+  recordRefusal(pool: InstancePool, typicalBootMs: number, now: number): void {
     const key = poolKey(pool);
     const previous = this.refusals.get(key);
-    const wantedMs =
-      previous === undefined ? usualBootMs * FIRST_BACKOFF_BOOT_FRACTION : previous.backoffMs * 2;
-    const backoffMs = Math.min(wantedMs, usualBootMs * MAX_BACKOFF_BOOT_FACTOR);
-    this.refusals.set(key, { until: now + backoffMs, backoffMs });
+    const uncappedMs =
+      previous === undefined ? typicalBootMs * FIRST_BACKOFF_BOOT_FRACTION : previous.backoffMs * 2;
+    const backoffMs = Math.min(uncappedMs, typicalBootMs * MAX_BACKOFF_BOOT_FACTOR);
+    this.refusals.set(key, { retryAt: now + backoffMs, backoffMs });
   }
 
   /** Records that a pool gave all that was ordered. */
--- a/src/autoscaling/reconciler.ts
+++ b/src/autoscaling/reconciler.ts
@@ -88,7 +88,7 @@
       ),
       machines: Array.from(fleet.all(), ([host, record]) => ({ ...record, host })),
       wallNow: Date.now(),
-      hasRefusedLately: (pool) => this.refusals.hasRefusedLately(pool, now),
+      isInBackoff: (pool) => this.refusals.isInBackoff(pool, now),
       caps: operator,
       leaseMs: settings.workers.leaseMs,
     });
@@ -102,7 +102,7 @@
   ): Promise<void> {
     const { cloud, callbacks } = this.dependencies;
     // Nothing is recorded that cannot be sent; a read of the prices shows when the cloud is back.
-    if (!callbacks.mayCallCloud()) return this.machineTypes.probeCloud();
+    if (!callbacks.canCallCloud()) return this.machineTypes.probeCloud();
     if (await this.rentalOrders.resume(leaderCondition)) return;
     if (rentalPlan !== null && cloud.tryAcquireCall())
       return this.rentalOrders.place(leaderCondition, rentalPlan);
--- a/src/autoscaling/removal-selection.ts
+++ b/src/autoscaling/removal-selection.ts
@@ -1,6 +1,6 @@
 /** Which machines to return: those that are empty over the idle wait, and those that are lost for good. Pure. */
 import type { MachineSummary } from "../peers/peer-messages.js";
-import { usualBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
+import { typicalBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
 import { MIN_EMPTY_HEARTBEATS } from "./shard-balancing.js";
 
 /** Machines of one shard that are to be drained. */
@@ -24,12 +24,12 @@
   const machinesByHost = new Map(view.machines.map((machine) => [machine.host, machine]));
   for (const [shard, summary] of view.summaries.entries()) {
     if (!summary?.recovered) continue;
-    const ownerCutOff = isOwnerCutOff(summary.machines);
+    const isOwnerPartitioned = isLikelyPartitioned(summary.machines);
     const hosts = summary.machines
       .filter((reported) => {
         const machine = machinesByHost.get(reported.host);
         if (machine === undefined || machine.draining) return false;
-        return isRemovable(reported, machine, ownerCutOff, view, types);
+        return isRemovable(reported, machine, isOwnerPartitioned, view, types);
       })
       .map(({ host }) => host);
     if (hosts.length > 0) selections.push({ shard, hosts });
@@ -40,7 +40,7 @@
 function isRemovable(
   reported: MachineSummary,
   machine: RentedMachine,
-  ownerCutOff: boolean,
+  isOwnerPartitioned: boolean,
   view: ScalingView,
   types: MachineTypes,
 ): boolean {
@@ -53,7 +53,7 @@
     // its new owner yet.
     case "lease_expired":
     case "awaiting_heartbeat":
-      return !ownerCutOff && reported.stateForMs >= view.leaseMs;
+      return !isOwnerPartitioned && reported.stateForMs >= view.leaseMs;
     case "booting":
       return hasBootFailed(machine, view, types);
     case "busy":
@@ -68,17 +68,17 @@
   view: ScalingView,
   types: MachineTypes,
 ): boolean {
-  const idleWaitMs = view.caps.idleWaitMs ?? IDLE_WAIT_BOOT_FRACTION * usualBootMs(machine, types);
+  const idleWaitMs = view.caps.idleWaitMs ?? IDLE_WAIT_BOOT_FRACTION * typicalBootMs(machine, types);
   return reported.stateForMs >= idleWaitMs && reported.emptyHeartbeats >= MIN_EMPTY_HEARTBEATS;
 }
 
 function hasBootFailed(machine: RentedMachine, view: ScalingView, types: MachineTypes): boolean {
-  const longestBootMs = FAILED_BOOT_FACTOR * usualBootMs(machine, types) + view.leaseMs;
-  return view.wallNow - machine.since >= longestBootMs;
+  const maxBootMs = FAILED_BOOT_FACTOR * typicalBootMs(machine, types) + view.leaseMs;
+  return view.wallNow - machine.since >= maxBootMs;
 }
 
 /** Guards against returning a whole fleet because its heartbeats do not reach their owner. */
-function isOwnerCutOff(machines: MachineSummary[]): boolean {
+function isLikelyPartitioned(machines: MachineSummary[]): boolean {
   const expired = machines.filter(({ state }) => state === "lease_expired").length;
   const reachable = machines.filter(
     ({ state }) => state === "idle" || state === "busy" || state === "quarantined",
--- a/src/autoscaling/rental-plan.ts
+++ b/src/autoscaling/rental-plan.ts
@@ -28,7 +28,7 @@
     if (slots === 0) continue;
     for (const pool of poolsOf(type)) {
       const pricePerTask = (pool.spot ? type.spotPrice : type.price) / slots;
-      if (!allowsPool(demand, pool) || view.hasRefusedLately(pool) || pricePerTask >= lowestPrice) continue;
+      if (!allowsPool(demand, pool) || view.isInBackoff(pool) || pricePerTask >= lowestPrice) continue;
       cheapest = pool;
       lowestPrice = pricePerTask;
     }
@@ -51,9 +51,9 @@
 ): RentalPlan | null {
   if (plan !== null && poolKey(plan) !== poolKey(pool)) return plan;
   const extended = plan ?? { ...pool, count: 0, parts: [] };
-  const planned = extended.parts.find((part) => part.shard === shortage.shard)?.count ?? 0;
+  const plannedCount = extended.parts.find((part) => part.shard === shortage.shard)?.count ?? 0;
   const count = Math.min(
-    machinesNeeded(shortage, pool, types) - planned,
+    machinesNeeded(shortage, pool, types) - plannedCount,
     shortage.maxMachines,
     Math.min(machinesLeft, MAX_RENTAL) - extended.count,
   );
--- a/src/autoscaling/scaling-policy.ts
+++ b/src/autoscaling/scaling-policy.ts
@@ -33,13 +33,13 @@
     jobMigration: chooseJobMigration(view.summaries),
     drains: selectForRemoval(view, types),
   };
-  for (const shortage of firstMachinesFirst(findShortages(view, types)))
+  for (const shortage of prioritizeFirstMachines(findShortages(view, types)))
     coverShortage(shortage, actions, view, types);
   return actions;
 }
 
 /** Guards against a shard that waits without any machine while others take all that can be had: one comes first. */
-function firstMachinesFirst(shortages: Shortage[]): Shortage[] {
+function prioritizeFirstMachines(shortages: Shortage[]): Shortage[] {
   const withoutMachine = shortages.filter((shortage) => shortage.hasNoMachine);
   return [...withoutMachine.map((shortage) => ({ ...shortage, maxMachines: 1 })), ...shortages];
 }
--- a/src/autoscaling/scaling-view.ts
+++ b/src/autoscaling/scaling-view.ts
@@ -19,7 +19,7 @@
   /** Time of day, as in the machines' records; in milliseconds. */
   wallNow: number;
   /** Whether the cloud has lately refused machines of a pool. */
-  hasRefusedLately(pool: InstancePool): boolean;
+  isInBackoff(pool: InstancePool): boolean;
   caps: Pick<OperatorSettings, "maxMachines" | "maxTasks" | "idleWaitMs">;
   /** How long a worker's lease lasts. */
   leaseMs: number;
@@ -32,6 +32,6 @@
 const DEFAULT_BOOT_S = 60;
 
 /** How long a machine of this type usually takes to boot. */
-export function usualBootMs(machine: RentedMachine, types: MachineTypes): number {
+export function typicalBootMs(machine: RentedMachine, types: MachineTypes): number {
   return (types.get(machine.type)?.bootS ?? DEFAULT_BOOT_S) * 1000;
 }
--- a/src/autoscaling/shard-balancing.ts
+++ b/src/autoscaling/shard-balancing.ts
@@ -123,12 +123,12 @@
 
 function findShardWithCapacity(
   summaries: (ShardSummary | undefined)[],
-  exceptShard: number,
+  excludedShard: number,
   task: Demand,
 ): number | null {
   const shard = summaries.findIndex(
     (summary, candidate) =>
-      candidate !== exceptShard &&
+      candidate !== excludedShard &&
       summary?.recovered &&
       summary.freeCapacity.some((capacity) => allowsPool(task, capacity) && fits(capacity, task)),
   );
--- a/src/autoscaling/shortages.ts
+++ b/src/autoscaling/shortages.ts
@@ -3,7 +3,7 @@
 import { allowsPool, type Demand, type MachineCondition, type ShardSummary } from "../peers/peer-messages.js";
 import { ROUNDING_TOLERANCE, slotsPerMachine } from "../placement/capacity.js";
 import { PRIORITIES, type Priority } from "../wire/index.js";
-import { usualBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
+import { typicalBootMs, type MachineTypes, type RentedMachine, type ScalingView } from "./scaling-view.js";
 
 /** A machine that takes longer than this many usual boot times to come up covers no demand any more. */
 const LATE_BOOT_FACTOR = 2;
@@ -31,11 +31,11 @@
 }
 
 /** How many tasks all shards together may still ask machines for. */
-class TaskAllowance {
+class TaskBudget {
   constructor(private tasksLeft: number) {}
 
-  take(wanted: number): number {
-    const granted = Math.min(wanted, this.tasksLeft);
+  consume(requested: number): number {
+    const granted = Math.min(requested, this.tasksLeft);
     this.tasksLeft -= granted;
     return granted;
   }
@@ -43,12 +43,12 @@
 
 /** The shortages of all shards, the most urgent first. */
 export function findShortages(view: ScalingView, types: MachineTypes): Shortage[] {
-  const allowance = new TaskAllowance(view.caps.maxTasks);
+  const taskBudget = new TaskBudget(view.caps.maxTasks);
   const shortages: Shortage[] = [];
   for (const [shard, summary] of view.summaries.entries()) {
     // Before an owner has reconciled its machines, its queue does not show what is short.
     if (!summary?.recovered) continue;
-    const shortage = findShortage(shard, summary, view, types, allowance);
+    const shortage = findShortage(shard, summary, view, types, taskBudget);
     if (shortage !== null) shortages.push(shortage);
   }
   return shortages.sort((a, b) => priorityRank(b.demand) - priorityRank(a.demand));
@@ -75,23 +75,25 @@
   summary: ShardSummary,
   view: ScalingView,
   types: MachineTypes,
-  allowance: TaskAllowance,
+  taskBudget: TaskBudget,
 ): Shortage | null {
   const conditions = new Map(summary.machines.map((machine) => [machine.host, machine.state]));
   const ownMachines = view.machines.filter((machine) => machine.shard === shard && !machine.draining);
   const booting = ownMachines
     .filter((machine) => isStillBooting(machine, conditions, types, view.wallNow))
     .map((machine) => ({ machine, freeFraction: 1 }));
-  const unmetDemand = findUnmetDemand(summary.demand, booting, types, allowance);
+  const unmetDemand = findUnmetDemand(summary.demand, booting, types, taskBudget);
   const mostUrgent = unmetDemand[0];
   if (mostUrgent === undefined) return null;
   const usable = ownMachines.filter((machine) => conditions.get(machine.host) !== "lease_expired");
-  const withoutMachine = unmetDemand.find((demand) => !usable.some((machine) => allowsPool(demand, machine)));
+  const demandWithoutMachine = unmetDemand.find(
+    (demand) => !usable.some((machine) => allowsPool(demand, machine)),
+  );
   return {
     shard,
-    demand: withoutMachine ?? mostUrgent,
+    demand: demandWithoutMachine ?? mostUrgent,
     unmetDemand,
-    hasNoMachine: withoutMachine !== undefined,
+    hasNoMachine: demandWithoutMachine !== undefined,
     maxMachines: Infinity,
   };
 }
@@ -101,11 +103,11 @@
   demands: readonly Demand[],
   booting: BootingMachine[],
   types: MachineTypes,
-  allowance: TaskAllowance,
+  taskBudget: TaskBudget,
 ): Demand[] {
   const unmetDemand: Demand[] = [];
   for (const demand of [...demands].sort((a, b) => priorityRank(b) - priorityRank(a))) {
-    const allowed = allowance.take(demand.count);
+    const allowed = taskBudget.consume(demand.count);
     const count = allowed - assignToBooting(demand, allowed, booting, types);
     if (count > 0) unmetDemand.push({ ...demand, count });
   }
@@ -145,5 +147,5 @@
   const condition = conditions.get(machine.host) ?? "booting";
   if (condition === "awaiting_heartbeat") return true;
   if (condition !== "booting") return false;
-  return wallNow - machine.since < LATE_BOOT_FACTOR * usualBootMs(machine, types);
+  return wallNow - machine.since < LATE_BOOT_FACTOR * typicalBootMs(machine, types);
 }
--- a/src/cloud/cloud-client.ts
+++ b/src/cloud/cloud-client.ts
@@ -33,7 +33,7 @@
 
 /** Calls the cloud. All calls that return a promise fail with a `CloudError` if they get no usable answer. */
 export class CloudClient {
-  private readonly callRate: TokenBucket;
+  private readonly callLimiter: TokenBucket;
 
   constructor(
     private readonly http: JsonClient,
@@ -42,7 +42,7 @@
     /** How long a call may take, in milliseconds. */
     private readonly timeoutMs: number,
   ) {
-    this.callRate = new TokenBucket(callsPerSecond, callsPerSecond, clock);
+    this.callLimiter = new TokenBucket(callsPerSecond, callsPerSecond, clock);
   }
 
   /**
@@ -50,7 +50,7 @@
    * cloud, so that the whole rate is its own.
    */
   tryAcquireCall(): boolean {
-    return this.callRate.tryAcquire(1);
+    return this.callLimiter.tryAcquire(1);
   }
 
   /** Lists the machine types that can be rented. */
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -187,9 +187,9 @@
       fleet: this.fleet,
       clock: this.network.clock,
       callbacks: {
-        leadership: () => this.membership.leadership(),
+        leaderVersion: () => this.membership.leadership(),
         requestOwner: (shard, request) => this.controllerRequests.sendToOwner(shard, request),
-        mayCallCloud: () => this.links.policy.allows("order"),
+        canCallCloud: () => this.links.policy.allows("order"),
       },
       log: this.log,
     });
