--- a/src/autoscaling/machine-list-reader.ts
+++ b/src/autoscaling/machine-list-reader.ts
@@ -96,7 +96,7 @@
     const hostsByShard = new Map<number, string[]>();
     for (const host of this.listing.missing(machines, isRecorded, now)) {
       const record = fleet.get(host);
-      if (record === undefined || record.draining) continue;
+      if (record === undefined || record.isDraining) continue;
       hostsByShard.set(record.shard, [...(hostsByShard.get(record.shard) ?? []), host]);
     }
     for (const [shard, hosts] of hostsByShard) void drainMachines({ shard, hosts });
--- a/src/autoscaling/machine-returns.ts
+++ b/src/autoscaling/machine-returns.ts
@@ -40,7 +40,7 @@
 
   private drainedHosts(): string[] {
     return [...this.dependencies.fleet.all()]
-      .filter(([, machine]) => machine.draining)
+      .filter(([, machine]) => machine.isDraining)
       .slice(0, MAX_RETURN)
       .map(([host]) => host);
   }
--- a/src/autoscaling/removal-selection.ts
+++ b/src/autoscaling/removal-selection.ts
@@ -28,7 +28,7 @@
     const hosts = summary.machines
       .filter((reported) => {
         const machine = machinesByHost.get(reported.host);
-        if (machine === undefined || machine.draining) return false;
+        if (machine === undefined || machine.isDraining) return false;
         return isRemovable(reported, machine, ownerCutOff, view, types);
       })
       .map(({ host }) => host);
--- a/src/autoscaling/shard-balancing.ts
+++ b/src/autoscaling/shard-balancing.ts
@@ -61,7 +61,7 @@
     if (shard === targetShard || !summary?.recovered) continue;
     const hostsUp = new Set(summary.machines.filter(isUp).map(({ host }) => host));
     const suitable = view.machines.filter(
-      (machine) => hostsUp.has(machine.host) && !machine.draining && allowsPool(demand, machine),
+      (machine) => hostsUp.has(machine.host) && !machine.isDraining && allowsPool(demand, machine),
     );
     if (suitable.length <= mostMachines) continue;
     chosen = { shard, targetShard, demand };
@@ -94,7 +94,7 @@
       .map(({ host }) => host),
   );
   return view.machines.filter(
-    (machine) => machine.shard === shard && !machine.draining && idleHosts.has(machine.host),
+    (machine) => machine.shard === shard && !machine.isDraining && idleHosts.has(machine.host),
   );
 }
 
--- a/src/autoscaling/shortages.ts
+++ b/src/autoscaling/shortages.ts
@@ -78,7 +78,7 @@
   allowance: TaskAllowance,
 ): Shortage | null {
   const conditions = new Map(summary.machines.map((machine) => [machine.host, machine.state]));
-  const ownMachines = view.machines.filter((machine) => machine.shard === shard && !machine.draining);
+  const ownMachines = view.machines.filter((machine) => machine.shard === shard && !machine.isDraining);
   const booting = ownMachines
     .filter((machine) => isStillBooting(machine, conditions, types, view.wallNow))
     .map((machine) => ({ machine, freeFraction: 1 }));
--- a/src/http/user-requests.ts
+++ b/src/http/user-requests.ts
@@ -69,7 +69,7 @@
     const result = await this.jobs.submit(parsed.value);
     switch (result.kind) {
       case "accepted":
-        return { status: result.fresh ? 201 : 200, body: acceptedToWire(parsed.value.id, result.stage) };
+        return { status: result.isNew ? 201 : 200, body: acceptedToWire(parsed.value.id, result.stage) };
       case "malformed":
         return errorResponse(400, result.reason);
       case "impossible":
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -86,10 +86,10 @@
 const endedSchema = z.object({ stage: z.enum(["done", "cancelled"]), done: z.number() });
 
 /** A job that is over; kept for good. `done` is the number of completed tasks. */
-export type EndedRecord = z.infer<typeof endedSchema>;
+export type EndedJobRecord = z.infer<typeof endedSchema>;
 
 /** Decodes a job that is over; null where the value cannot be read. */
-export function readEnded(value: unknown): EndedRecord | null {
+export function readEndedJob(value: unknown): EndedJobRecord | null {
   return endedSchema.safeParse(value).data ?? null;
 }
 
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -20,7 +20,7 @@
   Write,
 } from "../wire/index.js";
 import { checkAdmission, type Rejection } from "./admission.js";
-import { encodeJob, readEnded, readJob, type EndedRecord, type JobRecord } from "./job-records.js";
+import { encodeJob, readEndedJob, readJob, type EndedJobRecord, type JobRecord } from "./job-records.js";
 import { countDurablyDone } from "./progress-pages.js";
 import type { ShardAssignment } from "./shard-assignment.js";
 
@@ -35,7 +35,7 @@
   /** The job's stage: that of a new job, or that of a job accepted earlier. */
   stage: JobStage;
   /** False where the job was accepted earlier under the same id. */
-  fresh: boolean;
+  isNew: boolean;
 }
 
 /** How a submission ended. */
@@ -76,7 +76,7 @@
 /** Accepts, looks up and cancels jobs, each by the state service and never by memory alone unless final. */
 export class JobService {
   /** Final states never change, so that they may be answered from memory. */
-  private readonly ended = new LRUCache<string, EndedRecord>({ max: REMEMBERED_ENDED_JOBS });
+  private readonly endedJobs = new LRUCache<string, EndedJobRecord>({ max: REMEMBERED_ENDED_JOBS });
 
   constructor(private readonly dependencies: JobServiceDependencies) {}
 
@@ -84,8 +84,8 @@
   applyChanges(changes: RecordChange[]): void {
     for (const change of changes) {
       if (!change.key.startsWith(prefixes.endedJobs)) continue;
-      const ended = readEnded(change.value);
-      if (ended !== null) this.ended.set(change.key.slice(prefixes.endedJobs.length), ended);
+      const ended = readEndedJob(change.value);
+      if (ended !== null) this.endedJobs.set(change.key.slice(prefixes.endedJobs.length), ended);
     }
   }
 
@@ -95,16 +95,16 @@
     const types = [...machineTypes().values()];
     return this.unavailableOnStateError(async (): Promise<SubmitResult> => {
       const admission = types.length === 0 ? UNAVAILABLE : checkAdmission(spec, settings, types);
-      if (admission.kind !== "ok") return this.acceptedEarlier(spec.id, admission);
+      if (admission.kind !== "ok") return this.acceptedEarlierOr(spec.id, admission);
       const committed = await this.commitSubmission(spec);
-      if (committed) return { kind: "accepted", stage: "pending", fresh: true };
-      return this.acceptedEarlier(spec.id, UNAVAILABLE);
+      if (committed) return { kind: "accepted", stage: "pending", isNew: true };
+      return this.acceptedEarlierOr(spec.id, UNAVAILABLE);
     });
   }
 
   /** Looks up the state of a job, as new as any answer that any controller has given. */
   async lookUp(id: string): Promise<JobLookup> {
-    const ended = this.ended.get(id);
+    const ended = this.endedJobs.get(id);
     if (ended !== undefined) return foundEnded(id, ended);
     return this.unavailableOnStateError(async (): Promise<JobLookup> => {
       // Another controller may have answered with a later state than our replica shows: it becomes current first.
@@ -140,19 +140,19 @@
       maxParallelTasks: null,
       migratedIn: false,
     };
-    const isNew = [
+    const absentConditions = [
       { key: keys.job(spec.id), version: 0 },
       { key: keys.endedJob(spec.id), version: 0 },
     ];
     const writes: Write[] = [{ put: keys.job(spec.id), value: encodeJob(record) }];
-    const result = await state.compareAndSwap(isNew, writes, "user", queueTimeoutMs);
+    const result = await state.compareAndSwap(absentConditions, writes, "user", queueTimeoutMs);
     return result.ok;
   }
 
   /** A job that was accepted once stays accepted, whatever the types or a repeat say by now; any other gets `otherwise`. */
-  private async acceptedEarlier(id: string, otherwise: Rejection | Unavailable): Promise<SubmitResult> {
+  private async acceptedEarlierOr(id: string, otherwise: Rejection | Unavailable): Promise<SubmitResult> {
     const known = await this.lookUp(id);
-    if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, fresh: false };
+    if (known.kind === "found") return { kind: "accepted", stage: known.status.stage, isNew: false };
     return known.kind === "unavailable" ? UNAVAILABLE : otherwise;
   }
 
@@ -168,13 +168,13 @@
   }
 
   private async lookUpEnded(id: string): Promise<JobLookup> {
-    const known = this.ended.get(id);
+    const known = this.endedJobs.get(id);
     if (known !== undefined) return foundEnded(id, known);
     const entry = await this.dependencies.state.read(keys.endedJob(id));
     if (entry === null) return { kind: "unknown" };
-    const ended = readEnded(entry.value);
+    const ended = readEndedJob(entry.value);
     if (ended === null) return UNAVAILABLE;
-    this.ended.set(id, ended);
+    this.endedJobs.set(id, ended);
     return foundEnded(id, ended);
   }
 
@@ -182,25 +182,27 @@
   private async tryCancel(
     id: string,
     entry: Pick<RecordEntry, "value" | "version">,
-  ): Promise<EndedRecord | null> {
+  ): Promise<EndedJobRecord | null> {
     const { state, replica, queueTimeoutMs, notifyOwnerOfCancellation, log } = this.dependencies;
     const job = readJob(entry.value);
     const done = job === null ? 0 : countDurablyDone(replica, job.shard, id, job.spec.tasks);
-    const ended: EndedRecord = { stage: "cancelled", done };
+    const ended: EndedJobRecord = { stage: "cancelled", done };
     // The first transaction to change the job's record wins: a completion in flight then fails, or this does.
-    const isUnchanged = [{ key: keys.job(id), version: entry.version }];
+    const unchangedConditions = [{ key: keys.job(id), version: entry.version }];
     const writes: Write[] = [{ put: keys.endedJob(id), value: ended }, { remove: keys.job(id) }];
-    const result = await state.compareAndSwap(isUnchanged, writes, "user", queueTimeoutMs);
+    const result = await state.compareAndSwap(unchangedConditions, writes, "user", queueTimeoutMs);
     if (!result.ok) return null;
     log.info({ job: id, shard: job?.shard, revision: result.revision }, "job cancelled");
     if (job !== null) notifyOwnerOfCancellation(job.shard, id);
-    this.ended.set(id, ended);
+    this.endedJobs.set(id, ended);
     return ended;
   }
 
-  private async unavailableOnStateError<Result>(work: () => Promise<Result>): Promise<Result | Unavailable> {
+  private async unavailableOnStateError<Result>(
+    operation: () => Promise<Result>,
+  ): Promise<Result | Unavailable> {
     try {
-      return await work();
+      return await operation();
     } catch (err) {
       if (!(err instanceof StateStoreError)) throw err;
       this.dependencies.log.debug({ err }, "user request not answered by state service");
@@ -209,6 +211,6 @@
   }
 }
 
-function foundEnded(id: string, { stage, done }: EndedRecord): JobLookup {
+function foundEnded(id: string, { stage, done }: EndedJobRecord): JobLookup {
   return { kind: "found", status: { id, stage, done, running: 0 } };
 }
--- a/src/jobs/progress-pages.ts
+++ b/src/jobs/progress-pages.ts
@@ -20,12 +20,12 @@
 export class ProgressPages {
   /** The encoded bitmap of each job, by page. */
   private readonly pages: Map<string, string>[] = [];
-  private readonly pageOf = new Map<string, number>();
+  private readonly pageByJob = new Map<string, number>();
 
   constructor(private readonly valueBytes: number) {}
 
   /** Whether a job of so many tasks shares a page with others. */
-  sharesPages(tasks: number): boolean {
+  canSharePage(tasks: number): boolean {
     return (tasks / 8) * BASE64_EXPANSION <= this.valueBytes * MAX_SHARED_FRACTION;
   }
 
@@ -36,28 +36,28 @@
 
   /** Sets the encoded bitmap of a job's completed tasks, and returns the page that is to be written. */
   set(id: string, bits: string): number {
-    const page = this.pageOf.get(id) ?? this.findPageWithSpace(id.length + bits.length);
+    const page = this.pageByJob.get(id) ?? this.findPageWithSpace(id.length + bits.length);
     this.put(page, id, bits);
     return page;
   }
 
   /** Removes a job that is over from its page, which is written without it the next time. */
   remove(id: string): void {
-    const page = this.pageOf.get(id);
+    const page = this.pageByJob.get(id);
     if (page === undefined) return;
     this.pages[page]?.delete(id);
-    this.pageOf.delete(id);
+    this.pageByJob.delete(id);
   }
 
   /** The record of a page. */
-  value(page: number): { jobs: Record<string, string> } {
+  recordValue(page: number): { jobs: Record<string, string> } {
     return { jobs: Object.fromEntries(this.pages[page] ?? []) };
   }
 
   private put(page: number, id: string, bits: string): void {
     while (this.pages.length <= page) this.pages.push(new Map());
     this.pages[page]!.set(id, bits);
-    this.pageOf.set(id, page);
+    this.pageByJob.set(id, page);
   }
 
   private findPageWithSpace(bytes: number): number {
--- a/src/jobs/shard-assignment.ts
+++ b/src/jobs/shard-assignment.ts
@@ -4,7 +4,7 @@
 import type { JobSpec } from "../wire/index.js";
 
 /** The load of a shard, in processors. */
-export interface ShardPressure {
+export interface CpuLoad {
   /** All processors of its machines. */
   capacity: number;
   /** What waiting tasks need beyond what is free; negative where capacity is left. */
@@ -17,7 +17,7 @@
  * shard, since no two owners could keep one limit.
  */
 export class ShardAssignment {
-  private readonly loads = new Map<number, ShardPressure>();
+  private readonly loads = new Map<number, CpuLoad>();
 
   constructor(
     private readonly teams: Team[],
@@ -31,7 +31,7 @@
   }
 
   /** Records the load of a shard as its owner last sent it. */
-  recordLoad(shard: number, load: ShardPressure): void {
+  recordLoad(shard: number, load: CpuLoad): void {
     this.loads.set(shard, { ...load });
   }
 
--- a/src/placement/eligibility.ts
+++ b/src/placement/eligibility.ts
@@ -18,8 +18,8 @@
  */
 export function isStartable(job: Job, term: OwnershipTerm): boolean {
   return (
-    !job.terminating &&
-    !job.migrating &&
+    !job.isTerminating &&
+    !job.isMigrating &&
     job.notBefore <= term.now &&
     (term.recovered || job.version > term.termToken)
   );
@@ -33,14 +33,14 @@
     (spec.types === null || spec.types.includes(record.type)) &&
     (spec.zone === null || spec.zone === record.zone) &&
     (spec.spot || !record.spot) &&
-    !job.failedOn.has(machine.host)
+    !job.lastFailedAtByHost.has(machine.host)
   );
 }
 
 /** How many tasks of a job are in each zone, all counted that are not proven gone. */
 export function countTasksByZone(job: Job): Map<string, number> {
   const tasksByZone = new Map<string, number>();
-  for (const { machine } of job.active.values()) countZone(tasksByZone, machine);
+  for (const { machine } of job.activeAttempts.values()) countZone(tasksByZone, machine);
   return tasksByZone;
 }
 
--- a/src/placement/image-locality.ts
+++ b/src/placement/image-locality.ts
@@ -23,7 +23,7 @@
   let postponed: QueueEntry[] = [];
   for (const entry of queue) {
     const { job } = entry;
-    if (job.waiting === 0 || !isStartable(job, input)) continue;
+    if (job.waitingCount === 0 || !isStartable(job, input)) continue;
     const head = postponed[0];
     if (head !== undefined && !haveSimilarPriority(head, entry, input)) {
       for (const { job: postponedJob } of postponed) yield postponedJob;
--- a/src/placement/job-placement.ts
+++ b/src/placement/job-placement.ts
@@ -43,7 +43,7 @@
 function placeJob(job: Job, state: RoundState, team: Team | undefined, usage: QuotaUsage): void {
   if (!isWithinQuota(team, usage, state.quota.unreconciled, job.spec)) return;
   // Guards against a faulty job that fills machine after machine with tasks that fail: one is enough to tell.
-  if (job.suspectedFaulty && job.active.size > 0) return;
+  if (job.isSuspectedFaulty && job.activeAttempts.size > 0) return;
   const candidates = findCandidates(job, state);
   if (candidates.length === 0) return;
   // A machine that takes a task becomes fuller and so still better: each is filled before the next is considered.
@@ -79,7 +79,7 @@
     subtractResources(capacity, job.spec);
     addUsage(allocation.usage, job.spec);
     if (tasksByZone !== null) countZone(tasksByZone, machine);
-    if (job.suspectedFaulty) return false;
+    if (job.isSuspectedFaulty) return false;
   }
   return true;
 }
@@ -96,7 +96,7 @@
 }
 
 function nextUnplacedTask(job: Job, placedIndexes: Set<number>): number | null {
-  for (let i = job.nextWaiting() ?? job.spec.tasks; i < job.spec.tasks; i++)
-    if (!job.done.has(i) && !job.active.has(i) && !placedIndexes.has(i)) return i;
+  for (let i = job.nextWaitingTask() ?? job.spec.tasks; i < job.spec.tasks; i++)
+    if (!job.done.has(i) && !job.activeAttempts.has(i) && !placedIndexes.has(i)) return i;
   return null;
 }
--- a/src/placement/job-queue.ts
+++ b/src/placement/job-queue.ts
@@ -24,7 +24,7 @@
 /** The waiting jobs that may start, in the order in which they are served. */
 export function buildQueue(input: PlacementInput): QueueEntry[] {
   const waiting: Job[] = [];
-  for (const job of input.jobs) if (job.waiting > 0 && isStartable(job, input)) waiting.push(job);
+  for (const job of input.jobs) if (job.waitingCount > 0 && isStartable(job, input)) waiting.push(job);
   return prioritize(waiting, input);
 }
 
--- a/src/placement/machine-capacity.ts
+++ b/src/placement/machine-capacity.ts
@@ -30,7 +30,7 @@
   { types, now }: Pick<PlacementInput, "types" | "now">,
 ): MachineType | null {
   const type = types.get(machine.record.type);
-  return type === undefined || !machine.schedulable || machine.notBefore > now ? null : type;
+  return type === undefined || !machine.isSchedulable || machine.notBefore > now ? null : type;
 }
 
 /**
--- a/src/placement/machine-forecast.ts
+++ b/src/placement/machine-forecast.ts
@@ -25,7 +25,7 @@
   input: Pick<PlacementInput, "machines" | "types" | "runtimeRatio" | "now">,
 ): MachineForecast[] {
   return input.machines
-    .filter((machine) => machine.schedulable)
+    .filter((machine) => machine.isSchedulable)
     .flatMap((machine) => forecastMachine(machine, input));
 }
 
--- a/src/placement/migration-policy.ts
+++ b/src/placement/migration-policy.ts
@@ -31,7 +31,7 @@
   const migrateAfterMs = MIGRATE_AFTER_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
   const oldestFirst = [...input.jobs]
     .filter((job) => input.wallNow - job.acceptedAt >= migrateAfterMs)
-    .filter((job) => job.waiting > 0 && canMigrate(job, input))
+    .filter((job) => job.waitingCount > 0 && canMigrate(job, input))
     .sort((a, b) => a.acceptedAt - b.acceptedAt);
   if (oldestFirst.length === 0) return [];
   const quota = quotaSnapshot(input);
@@ -51,7 +51,7 @@
 export function canMigrate(job: Job, input: PlacementInput): boolean {
   return (
     !job.hasStarted &&
-    !job.suspectedFaulty &&
+    !job.isSuspectedFaulty &&
     job.maxParallelTasks === Infinity &&
     !job.migratedIn &&
     isStartable(job, input)
--- a/src/placement/placement-score.ts
+++ b/src/placement/placement-score.ts
@@ -20,7 +20,7 @@
   const isUrgent = priorityRank(job) >= URGENT_RANK;
   const localImageScore = isUrgent ? LOCAL_IMAGE_SCORE_URGENT : LOCAL_IMAGE_SCORE;
   return (
-    (machine.slow ? -SLOW_PENALTY : 0) +
+    (machine.isSlow ? -SLOW_PENALTY : 0) +
     (machine.record.spot ? SPOT_SCORE : 0) +
     (machine.images.has(job.spec.image) ? localImageScore : 0) -
     cpus / (1 + (type.cpus || 1))
--- a/src/placement/preemptable-capacity.ts
+++ b/src/placement/preemptable-capacity.ts
@@ -32,7 +32,7 @@
   const capacities: PreemptableCapacity[] = [];
   for (const machine of input.machines) {
     const type = input.types.get(machine.record.type);
-    if (!type || !machine.schedulable) continue;
+    if (!type || !machine.isSchedulable) continue;
     capacities.push(preemptableCapacityOf(machine, type, input, usageByTeam));
   }
   return capacities;
@@ -48,7 +48,7 @@
   const capacity: PreemptableCapacity = { machine, cpus, gpus, memoryGb, victims: [] };
   for (const placement of machine.placements) {
     const { job } = placement;
-    if (placement.stop !== null || job.terminating || endsSoon(placement, type, input)) {
+    if (placement.stop !== null || job.isTerminating || endsSoon(placement, type, input)) {
       subtractUsage(usageByTeam.get(job.spec.team)!, job.spec);
       continue;
     }
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -49,7 +49,7 @@
   const chosen: Preemption = { victims: [], reserved: new Map() };
   const jobs = [...input.jobs];
   const waiting = jobs.filter(
-    (job) => job.waiting > 0 && isStartable(job, input) && isTooUrgentToProvision(job, input),
+    (job) => job.waitingCount > 0 && isStartable(job, input) && isTooUrgentToProvision(job, input),
   );
   if (waiting.length === 0) return chosen;
   const quota = quotaSnapshot(input);
@@ -88,7 +88,7 @@
 
 /** The positions of all jobs that wait or run in the order in which placement serves them. */
 function queuePositionsOf(jobs: Job[], input: PreemptionInput): Map<Job, number> {
-  const activeJobs = jobs.filter((job) => job.waiting > 0 || job.active.size > 0);
+  const activeJobs = jobs.filter((job) => job.waitingCount > 0 || job.activeAttempts.size > 0);
   return new Map(orderByPriority(activeJobs, input).map((job, position) => [job, position]));
 }
 
@@ -139,7 +139,7 @@
  * to go on later, and nothing twice. Guards against two jobs that stop each other's tasks in turn.
  */
 function isPreemptable(victim: Placement, input: PlacementInput): boolean {
-  if (victim.resumed) return false;
+  if (victim.isResumed) return false;
   const type = input.types.get(victim.machine.record.type);
   if (type === undefined) return false;
   const delayMs = 2 * provisioningMs(victim.job, input) + victim.job.spec.saveS * 1000;
--- a/src/placement/quota.ts
+++ b/src/placement/quota.ts
@@ -45,8 +45,8 @@
   for (const [team, { cpus, gpus }] of reservedQuota) usageByTeam.set(team, { cpus, gpus });
   for (const job of jobs) {
     const usage = usageByTeam.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
-    usage.cpus += job.spec.cpus * job.active.size;
-    usage.gpus += job.spec.gpus * job.active.size;
+    usage.cpus += job.spec.cpus * job.activeAttempts.size;
+    usage.gpus += job.spec.gpus * job.activeAttempts.size;
     usageByTeam.set(job.spec.team, usage);
   }
   return usageByTeam;
@@ -59,7 +59,7 @@
 function unreconciledUsage(machines: Iterable<Machine>, types: Map<string, MachineType>): QuotaUsage {
   const usage = { cpus: 0, gpus: 0 };
   for (const machine of machines) {
-    if (!machine.unreconciled && machine.orphanTasks.size === 0) continue;
+    if (!machine.mayHaveUnreportedTasks && machine.orphanTasks.size === 0) continue;
     usage.cpus += types.get(machine.record.type)?.cpus ?? Infinity;
     usage.gpus += types.get(machine.record.type)?.gpus ?? Infinity;
   }
--- a/src/placement/shard-summary.ts
+++ b/src/placement/shard-summary.ts
@@ -18,13 +18,13 @@
 }: Pick<PlacementInput, "jobs" | "machines" | "types">): ShardLoad {
   const load = { machinesUp: 0, emptyMachines: 0, cpus: 0, usedCpus: 0, waitingCpus: 0 };
   for (const machine of machines) {
-    if (!machine.up) continue;
+    if (!machine.isUp) continue;
     load.machinesUp++;
     load.cpus += types.get(machine.record.type)?.cpus ?? 0;
     load.usedCpus += machine.usedResources().cpus;
     if (machine.placements.size === 0) load.emptyMachines++;
   }
-  for (const job of jobs) load.waitingCpus += job.waiting * job.spec.cpus;
+  for (const job of jobs) load.waitingCpus += job.waitingCount * job.spec.cpus;
   return load;
 }
 
@@ -39,7 +39,7 @@
 /** The tasks that need machines yet to be rented, alike ones together, within the quotas of their teams. */
 export function computeDemand(input: PlacementInput): Demand[] {
   const quota = quotaSnapshot(input);
-  const startable = [...input.jobs].filter((job) => job.waiting > 0 && isStartable(job, input));
+  const startable = [...input.jobs].filter((job) => job.waitingCount > 0 && isStartable(job, input));
   const waiting = new Map<Job, number>();
   for (const job of orderByPriority(startable, input)) {
     const count = claimQuota(job, quota, input);
@@ -52,7 +52,7 @@
 function claimQuota(job: Job, quota: QuotaSnapshot, input: PlacementInput): number {
   const team = teamOf(job, input.teams);
   const usage = quota.byTeam.get(job.spec.team)!;
-  const maxTasks = job.suspectedFaulty ? trialTasks(job, input) : job.startableTasks;
+  const maxTasks = job.isSuspectedFaulty ? trialTasks(job, input) : job.startableTasks;
   let count = 0;
   for (; count < maxTasks && isWithinQuota(team, usage, quota.unreconciled, job.spec); count++)
     addUsage(usage, job.spec);
@@ -61,12 +61,12 @@
 
 /** A job that may be faulty is tried with one task, for which nothing is rented while a machine could hold it. */
 function trialTasks(job: Job, input: PlacementInput): number {
-  if (job.active.size > 0) return 0;
+  if (job.activeAttempts.size > 0) return 0;
   for (const machine of input.machines) {
     const type = input.types.get(machine.record.type);
     if (
       type !== undefined &&
-      machine.schedulable &&
+      machine.isSchedulable &&
       isEligible(job, machine) &&
       slotsPerMachine(job.spec, type) > 0
     )
@@ -107,7 +107,7 @@
 export function summarizeMachine(machine: Machine, now: number): MachineSummary {
   const { host, emptyHeartbeats } = machine;
   const elapsedSince = (instant: number | null): number => (instant === null ? 0 : now - instant);
-  if (machine.record.draining || machine.removalPending)
+  if (machine.record.isDraining || machine.isRemovalPending)
     return { host, state: "draining", stateForMs: 0, emptyHeartbeats };
   if (machine.leaseExpiredAt !== null)
     return {
@@ -117,7 +117,7 @@
       emptyHeartbeats,
     };
   // Its heartbeats arrive and responses do not reach it: it can be used no more than one without heartbeats.
-  if (machine.responsesLost)
+  if (machine.hasLostResponses)
     return {
       host,
       state: "lease_expired",
@@ -128,8 +128,8 @@
     const state = machine.record.hasReported ? "awaiting_heartbeat" : "booting";
     return { host, state, stateForMs: elapsedSince(machine.addedAt), emptyHeartbeats };
   }
-  if (machine.quarantined) return { host, state: "quarantined", stateForMs: 0, emptyHeartbeats };
-  if (machine.empty && machine.interruptionNoticeS === null)
+  if (machine.isQuarantined) return { host, state: "quarantined", stateForMs: 0, emptyHeartbeats };
+  if (machine.isEmpty && machine.interruptionNoticeS === null)
     return { host, state: "idle", stateForMs: elapsedSince(machine.emptySince), emptyHeartbeats };
   return { host, state: "busy", stateForMs: 0, emptyHeartbeats };
 }
--- a/src/placement/starvation-reservation.ts
+++ b/src/placement/starvation-reservation.ts
@@ -16,7 +16,7 @@
   let bestFreeCpus = -Infinity;
   for (const machine of input.machines) {
     const type = input.types.get(machine.record.type);
-    if (!type || !machine.schedulable || reservations.has(machine) || !isEligible(job, machine)) continue;
+    if (!type || !machine.isSchedulable || reservations.has(machine) || !isEligible(job, machine)) continue;
     if (!fits(type, job.spec)) continue;
     // The machine that is reserved for the job already stays so.
     const isReservedAlready = input.starvationReservations.get(machine) === job;
--- a/src/placement/starvation.ts
+++ b/src/placement/starvation.ts
@@ -34,6 +34,6 @@
  */
 export function needsReservation(job: Job, context: Pick<SchedulingContext, "wallNow">): boolean {
   const overdueMs = starvingForMs(job, context);
-  if (overdueMs <= 0 || job.active.size > 0) return false;
+  if (overdueMs <= 0 || job.activeAttempts.size > 0) return false;
   return Math.floor(overdueMs / (RESERVATION_PERIOD * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000)) % 2 === 0;
 }
--- a/src/shards/completion-log.ts
+++ b/src/shards/completion-log.ts
@@ -60,7 +60,7 @@
     const { id, tasks } = job.spec;
     this.unwritten.delete(job);
     this.progress.remove(id);
-    if (job.durable.count === 0 || this.progress.sharesPages(tasks)) return;
+    if (job.durablyDone.count === 0 || this.progress.canSharePage(tasks)) return;
     for (let chunk = 0; chunk * CHUNK_TASKS < tasks; chunk++)
       this.staleKeys.add(keys.completedTasksChunk(id, chunk));
   }
@@ -96,7 +96,7 @@
     let remainingWrites = maxWrites;
     for (const [job, indexes] of this.unwritten) {
       if (isFinished(job)) continue;
-      if (this.progress.sharesPages(job.spec.tasks)) {
+      if (this.progress.canSharePage(job.spec.tasks)) {
         this.addToPage(pages, job, indexes);
         continue;
       }
@@ -125,7 +125,7 @@
     return {
       job: null,
       conditions: [],
-      writes: [{ put: keys.completedTasksPage(this.shard, page), value: this.progress.value(page) }],
+      writes: [{ put: keys.completedTasksPage(this.shard, page), value: this.progress.recordValue(page) }],
       onDurable: () => {
         for (const { job, indexes, written } of entries) this.markDurable(job, indexes, written);
       },
@@ -147,7 +147,7 @@
 
   private markDurable(job: Job, indexes: Set<number>, written: number[]): void {
     for (const index of written) {
-      job.durable.add(index);
+      job.durablyDone.add(index);
       indexes.delete(index);
     }
     if (indexes.size === 0 && this.unwritten.get(job) === indexes) this.unwritten.delete(job);
@@ -160,7 +160,7 @@
       conditions: [{ key: keys.job(id), version: job.version }],
       writes: [{ put: keys.endedJob(id), value: { stage: "done", done: tasks } }, { remove: keys.job(id) }],
       onDurable: () => {
-        for (let index = 0; index < tasks; index++) job.durable.add(index);
+        for (let index = 0; index < tasks; index++) job.durablyDone.add(index);
         this.unwritten.delete(job);
         this.progress.remove(id);
         this.log.info({ job: id }, "job done");
--- a/src/shards/cordons.ts
+++ b/src/shards/cordons.ts
@@ -44,11 +44,11 @@
       }
     const machine = findSoonestEmpty(demand, input);
     if (machine === null) return;
-    machine.cordoned = true;
+    machine.isCordoned = true;
     this.cordons.set(machine, { targetShard, until });
     for (const placement of machine.placements)
       if (canStopFor(placement, demand))
-        placement.stop ??= { why: "drain", graceS: placement.job.spec.saveS };
+        placement.stop ??= { reason: "drain", graceS: placement.job.spec.saveS };
     this.log.info({ host: machine.host, shard: this.shard, to: targetShard }, "machine cordoned");
   }
 
@@ -56,7 +56,7 @@
   expire(now: number): void {
     for (const [machine, { until }] of this.cordons) {
       if (now <= until) continue;
-      machine.cordoned = false;
+      machine.isCordoned = false;
       this.cordons.delete(machine);
     }
   }
@@ -72,7 +72,7 @@
   let soonestMs = MAX_CORDON_FRACTION * MAX_WAIT_WITH_FREE_CAPACITY_S * 1000;
   for (const machine of input.machines) {
     const type = input.types.get(machine.record.type);
-    if (type === undefined || !machine.schedulable || !allowsPool(demand, machine.record)) continue;
+    if (type === undefined || !machine.isSchedulable || !allowsPool(demand, machine.record)) continue;
     const emptyInMs = timeUntilEmptyMs(machine, type, demand, input);
     if (emptyInMs < soonestMs) {
       soonest = machine;
--- a/src/shards/decision-metrics.ts
+++ b/src/shards/decision-metrics.ts
@@ -1,6 +1,6 @@
 /** Counts and distributions of the decisions that stop cancelled tasks, for operators. */
 import { createHistogram, type RecordableHistogram } from "node:perf_hooks";
-import { VIOLATIONS, type RenewalRefusal } from "../workers/lease-renewal.js";
+import { INVARIANT_VIOLATIONS, type RenewalRefusal } from "../workers/lease-renewal.js";
 
 /** Longer durations are recorded as this. */
 const MAX_DURATION_MS = 3_600_000;
@@ -63,7 +63,7 @@
   /** A lease renewal was refused. */
   refused(reason: RenewalRefusal): void {
     this.refusedCounts.set(reason, (this.refusedCounts.get(reason) ?? 0) + 1);
-    if (VIOLATIONS.has(reason)) this.violationCount++;
+    if (INVARIANT_VIOLATIONS.has(reason)) this.violationCount++;
   }
 
   /** The first stop of an ended job's tasks was sent so long after the job's end. */
--- a/src/shards/ended-jobs.ts
+++ b/src/shards/ended-jobs.ts
@@ -25,7 +25,7 @@
   add(job: Job, since: number): void {
     this.pending.set(job.spec.id, { job, since, stopSent: false });
     this.log.info(
-      { shard: this.shard, job: job.spec.id, tasks: job.active.size },
+      { shard: this.shard, job: job.spec.id, tasks: job.activeAttempts.size },
       "ended job has tasks on machines",
     );
   }
@@ -44,7 +44,7 @@
   /** Removes the jobs that have no task on a machine any more. */
   removeGone(now: number): void {
     for (const [id, { job, since }] of this.pending) {
-      if (job.active.size > 0) continue;
+      if (job.activeAttempts.size > 0) continue;
       this.pending.delete(id);
       const tookMs = Math.round(now - since);
       this.metrics.tasksGone(tookMs);
--- a/src/shards/failure-tracker.ts
+++ b/src/shards/failure-tracker.ts
@@ -29,18 +29,18 @@
   succeeded(job: Job, machine: Machine): void {
     machine.failedJobs.clear();
     job.backOffCount = 0;
-    job.suspectedFaulty = false;
+    job.isSuspectedFaulty = false;
   }
 
   /** A task of the job failed on the machine; `now` is steady time in milliseconds. */
   failed(job: Job, machine: Machine, now: number): void {
     // Tasks that were running when the job was found faulty prove nothing new about it or its machines.
     if (job.notBefore > now) return;
-    job.failedOn.set(machine.host, now);
+    job.lastFailedAtByHost.set(machine.host, now);
     machine.failedJobs.add(job.spec.id);
-    if (job.suspectedFaulty || job.failedOn.size >= FAULTY_JOB_MACHINES) this.backOff(job, now);
-    else if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS && !machine.quarantined) {
-      machine.quarantined = true;
+    if (job.isSuspectedFaulty || job.lastFailedAtByHost.size >= FAULTY_JOB_MACHINES) this.backOff(job, now);
+    else if (machine.failedJobs.size >= FAULTY_MACHINE_JOBS && !machine.isQuarantined) {
+      machine.isQuarantined = true;
       this.log.info({ host: machine.host, jobs: [...machine.failedJobs] }, "machine quarantined");
     }
   }
@@ -50,9 +50,9 @@
    * the time that nobody waits beside free capacity: it may have been the machines after all.
    */
   private backOff(job: Job, now: number): void {
-    for (const host of job.failedOn.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
-    job.failedOn.clear();
-    job.suspectedFaulty = true;
+    for (const host of job.lastFailedAtByHost.keys()) this.machines.get(host)?.failedJobs.delete(job.spec.id);
+    job.lastFailedAtByHost.clear();
+    job.isSuspectedFaulty = true;
     job.notBefore = now + Math.min(2 ** job.backOffCount * this.leaseMs, MAX_BACK_OFF_MS);
     job.backOffCount++;
     this.log.info(
@@ -63,8 +63,8 @@
 
   /** Guards against a job that waits for ever beside free capacity: the only machines may be those on which it failed. */
   expireFailures(jobs: Iterable<Job>, now: number): void {
-    for (const { failedOn } of jobs)
-      for (const [host, failedAt] of failedOn)
-        if (now - failedAt > FAILURE_MEMORY_LEASES * this.leaseMs) failedOn.delete(host);
+    for (const { lastFailedAtByHost } of jobs)
+      for (const [host, failedAt] of lastFailedAtByHost)
+        if (now - failedAt > FAILURE_MEMORY_LEASES * this.leaseMs) lastFailedAtByHost.delete(host);
   }
 }
--- a/src/shards/heartbeat-handler.ts
+++ b/src/shards/heartbeat-handler.ts
@@ -53,7 +53,7 @@
     const { jobs, machines, speeds, shard, log } = this.dependencies;
     const machine = machines.byHost.get(heartbeat.host);
     if (machine === undefined || !isNewerHeartbeat(machine, heartbeat)) return null;
-    const wasUp = machine.up;
+    const wasUp = machine.isUp;
     const commands = reconcileHeartbeat(machine, heartbeat, {
       jobs: jobs.byId,
       now,
@@ -67,8 +67,8 @@
         speeds.finished(placement, now);
       },
     });
-    if (machine.up && !wasUp) log.info({ host: machine.host, shard }, "machine registered with owner");
-    if (machine.followsTerm) machine.unreconciled = false;
+    if (machine.isUp && !wasUp) log.info({ host: machine.host, shard }, "machine registered with owner");
+    if (machine.followsTerm) machine.mayHaveUnreportedTasks = false;
     recordResponse(machine, now);
     jobs.endedJobs.recordStops(commands, now);
     jobs.removeGone(now);
@@ -89,7 +89,7 @@
         failures.succeeded(job, machine);
         // Guards against writing the end of a job that was cancelled while its last task ended: its record is gone, and
         // the transaction would fail again and again, with those of all the jobs that are written together with it.
-        if (!job.terminating) jobs.completions.add(job, index);
+        if (!job.isTerminating) jobs.completions.add(job, index);
         return;
       case "error":
         failures.failed(job, machine, now);
--- a/src/shards/image-holders.ts
+++ b/src/shards/image-holders.ts
@@ -12,14 +12,14 @@
   recount(machines: Iterable<Machine>): void {
     this.counts = new Map();
     for (const machine of machines) {
-      if (!machine.schedulable) continue;
+      if (!machine.isSchedulable) continue;
       for (const image of machine.images) this.counts.set(image, (this.counts.get(image) ?? 0) + 1);
     }
   }
 
   /** Whether machines of this type with the job's image could hold all waiting tasks of the job at once. */
-  canHoldWaiting({ spec, waiting }: Job, type: MachineType | undefined): boolean {
+  canHoldWaiting({ spec, waitingCount }: Job, type: MachineType | undefined): boolean {
     const slots = type === undefined ? 0 : slotsPerMachine(spec, type);
-    return slots > 0 && (this.counts.get(spec.image) ?? 0) * slots >= waiting;
+    return slots > 0 && (this.counts.get(spec.image) ?? 0) * slots >= waitingCount;
   }
 }
--- a/src/shards/job-table.ts
+++ b/src/shards/job-table.ts
@@ -84,7 +84,7 @@
     for (const [id, bits] of Object.entries(jobs)) {
       const job = this.byId.get(id);
       if (job === undefined) continue;
-      if (job.durable.count === 0) this.completions.load(page, id, bits);
+      if (job.durablyDone.count === 0) this.completions.load(page, id, bits);
       job.mergeDone(0, bits);
     }
   }
@@ -115,15 +115,17 @@
     const job = this.byId.get(id);
     if (job === undefined) return;
     // The view before this one lacked its end, which is therefore no older than that view.
-    if (!job.terminating && job.active.size > 0) this.endedJobs.add(job, Math.min(now, this.completeAsOf));
-    job.terminating = true;
+    if (!job.isTerminating && job.activeAttempts.size > 0)
+      this.endedJobs.add(job, Math.min(now, this.completeAsOf));
+    job.isTerminating = true;
     this.completions.forget(job);
-    if (job.active.size === 0) this.byId.delete(id);
+    if (job.activeAttempts.size === 0) this.byId.delete(id);
   }
 
   /** Removes the ended jobs that have no task on a machine any more. */
   removeGone(now: number): void {
     this.endedJobs.removeGone(now);
-    for (const [id, job] of this.byId) if (job.terminating && job.active.size === 0) this.byId.delete(id);
+    for (const [id, job] of this.byId)
+      if (job.isTerminating && job.activeAttempts.size === 0) this.byId.delete(id);
   }
 }
--- a/src/shards/lease-expiry.ts
+++ b/src/shards/lease-expiry.ts
@@ -36,7 +36,7 @@
   /** Before the first heartbeat in this term, an earlier owner may have renewed the lease until the term began. */
   private lastPossibleRenewal(machine: Machine): number | null {
     if (machine.lastHeartbeatAt !== null) return machine.lastHeartbeatAt;
-    return machine.unreconciled ? this.dependencies.termStartedAt : machine.firstHeartbeatAt;
+    return machine.mayHaveUnreportedTasks ? this.dependencies.termStartedAt : machine.firstHeartbeatAt;
   }
 
   private expireLease(machine: Machine, now: number): void {
@@ -46,7 +46,7 @@
     releaseAll(machine);
     machine.emptySince = null;
     machine.emptyHeartbeats = 0;
-    machine.unreconciled = false;
+    machine.mayHaveUnreportedTasks = false;
     log.info({ host: machine.host, shard, lost }, "worker lease expired");
   }
 }
--- a/src/shards/machine-table.ts
+++ b/src/shards/machine-table.ts
@@ -45,7 +45,7 @@
 
   /** Whether everything that an earlier owner may have left running has been reported, or has surely ended. */
   get isReconciled(): boolean {
-    for (const machine of this.byHost.values()) if (machine.unreconciled) return false;
+    for (const machine of this.byHost.values()) if (machine.mayHaveUnreportedTasks) return false;
     return true;
   }
 
--- a/src/shards/migration-preparation.ts
+++ b/src/shards/migration-preparation.ts
@@ -22,13 +22,13 @@
   if (!canMigrate(job, input)) return null;
   const terms = migrationTermsFor(job, input);
   if (terms === null) return null;
-  job.migrating = true;
+  job.isMigrating = true;
   if (terms.reservation !== null) reservations.reserve(job.spec.id, terms.reservation);
   return { job, terms };
 }
 
 /** The job has surely not been migrated. */
 export function cancelMigration(job: Job, reservations: QuotaReservations): void {
-  job.migrating = false;
+  job.isMigrating = false;
   reservations.release(job.spec.id);
 }
--- a/src/shards/placement-scheduler.ts
+++ b/src/shards/placement-scheduler.ts
@@ -82,7 +82,7 @@
   /** Offers the free capacity of a machine that has just reported to the queue; returns how many tasks were placed. */
   placeOnMachine(host: string, token: number, now: number): number {
     const machine = this.dependencies.machines.byHost.get(host);
-    if (machine === undefined || !machine.schedulable || this.queue.length === 0) return 0;
+    if (machine === undefined || !machine.isSchedulable || this.queue.length === 0) return 0;
     // Jobs accepted since the last full round are served from the next one on, in their order.
     const hasEnoughImageHolders = (job: Job): boolean =>
       this.imageHolders.canHoldWaiting(job, this.dependencies.types().get(machine.record.type));
@@ -95,7 +95,7 @@
     const machine = this.dependencies.machines.byHost.get(host);
     if (!machine?.followsTerm) return [];
     return [...machine.placements]
-      .filter(({ state, stop, job }) => state === "assigned" && !stop && !job.terminating)
+      .filter(({ state, stop, job }) => state === "assigned" && !stop && !job.isTerminating)
       .map(({ job, index, attempt }) => ({ op: "start", job: job.spec.id, index, attempt }));
   }
 
@@ -127,7 +127,7 @@
   }
 
   private hasWaitingTasks(): boolean {
-    for (const job of this.dependencies.jobs.byId.values()) if (job.waiting > 0) return true;
+    for (const job of this.dependencies.jobs.byId.values()) if (job.waitingCount > 0) return true;
     return false;
   }
 
--- a/src/shards/preemption-reservations.ts
+++ b/src/shards/preemption-reservations.ts
@@ -29,7 +29,7 @@
   active(now: number): Map<Machine, Job> {
     const active = new Map<Machine, Job>();
     for (const [machine, { job, until }] of this.reservations) {
-      if (now > until || job.waiting === 0) this.reservations.delete(machine);
+      if (now > until || job.waitingCount === 0) this.reservations.delete(machine);
       else active.set(machine, job);
     }
     return active;
--- a/src/shards/removal-candidates.ts
+++ b/src/shards/removal-candidates.ts
@@ -18,9 +18,9 @@
 ): string[] {
   return hosts.filter((host) => {
     const machine = machines.get(host);
-    if (machine === undefined || machine.removalPending) return false;
+    if (machine === undefined || machine.isRemovalPending) return false;
     if (!isIdle(machine) && !(reason === "drain" && isLost(machine))) return false;
-    machine.removalPending = true;
+    machine.isRemovalPending = true;
     return true;
   });
 }
@@ -29,7 +29,7 @@
 export function cancelRemoval(machines: ReadonlyMap<string, Machine>, hosts: string[]): void {
   for (const host of hosts) {
     const machine = machines.get(host);
-    if (machine) machine.removalPending = false;
+    if (machine) machine.isRemovalPending = false;
   }
 }
 
@@ -39,16 +39,19 @@
 }
 
 function isIdle(machine: Machine): boolean {
-  return machine.healthy && machine.empty && machine.emptyHeartbeats >= MIN_EMPTY_HEARTBEATS;
+  return machine.isHealthy && machine.isEmpty && machine.emptyHeartbeats >= MIN_EMPTY_HEARTBEATS;
 }
 
 /** Such a machine need not be empty to be returned: the return itself proves that nothing runs on it any more. */
 function isLost(machine: Machine): boolean {
   return (
-    !machine.followsTerm || machine.leaseExpiredAt !== null || machine.responsesLost || machine.quarantined
+    !machine.followsTerm ||
+    machine.leaseExpiredAt !== null ||
+    machine.hasLostResponses ||
+    machine.isQuarantined
   );
 }
 
-function isUnrecorded({ lastHeartbeatAt, record, removalPending }: Machine): boolean {
-  return lastHeartbeatAt !== null && !record.hasReported && !record.draining && !removalPending;
+function isUnrecorded({ lastHeartbeatAt, record, isRemovalPending }: Machine): boolean {
+  return lastHeartbeatAt !== null && !record.hasReported && !record.isDraining && !isRemovalPending;
 }
--- a/src/shards/renewal-guard.ts
+++ b/src/shards/renewal-guard.ts
@@ -6,7 +6,7 @@
 import {
   decideRenewalPermission,
   LeaseRenewal,
-  VIOLATIONS,
+  INVARIANT_VIOLATIONS,
   type RenewalPermission,
   type RejectedRenewal,
   type RenewalRefusal,
@@ -87,7 +87,7 @@
       copyAgeMs: Math.round(viewAgeMs),
     };
     if (reason === null) this.log.info(evidence, "heartbeats answered");
-    else if (VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "heartbeats refused");
+    else if (INVARIANT_VIOLATIONS.has(reason)) this.log.error({ ...evidence, reason }, "heartbeats refused");
     else this.log.info({ ...evidence, reason }, "heartbeats refused");
   }
 
--- a/src/shards/shard-records.ts
+++ b/src/shards/shard-records.ts
@@ -1,5 +1,5 @@
 /** Keeps the jobs, machines and quota reservations of one shard in step with the records. */
-import { readEnded, readQuotaReservation } from "../jobs/job-records.js";
+import { readEndedJob, readQuotaReservation } from "../jobs/job-records.js";
 import { keys, prefixes } from "../state/keys.js";
 import type { ReplicaView } from "../state/replica.js";
 import type { RecordChange } from "../wire/index.js";
@@ -91,7 +91,7 @@
   private applyEndedJob({ key, value }: RecordChange): void {
     const { shard, jobs, quotaReservations } = this.dependencies;
     const id = key.slice(prefixes.endedJobs.length);
-    if (!quotaReservations.has(id) || readEnded(value)?.stage !== "done") return;
+    if (!quotaReservations.has(id) || readEndedJob(value)?.stage !== "done") return;
     quotaReservations.release(id);
     jobs.completions.removeLater(keys.quotaReservation(shard, id));
   }
--- a/src/shards/shard.ts
+++ b/src/shards/shard.ts
@@ -41,7 +41,7 @@
     this.parts = createShardParts(dependencies);
     this.sync(dependencies.view, null, dependencies.termStartedAt);
     // A machine that has never reported to an owner has never been sent a start.
-    for (const machine of this.machines.values()) machine.unreconciled = machine.record.hasReported;
+    for (const machine of this.machines.values()) machine.mayHaveUnreportedTasks = machine.record.hasReported;
   }
 
   /** The jobs by id. */
@@ -155,7 +155,7 @@
    * that by then no attempt of it may run any more, not even one whose task another attempt has completed.
    */
   private canComplete(job: Job): boolean {
-    return job.maxParallelTasks === Infinity || (job.active.size === 0 && this.recovered);
+    return job.maxParallelTasks === Infinity || (job.activeAttempts.size === 0 && this.recovered);
   }
 
   /** Completed tasks of jobs that go on, to be written with at most so many writes. */
--- a/src/shards/speed-tracker.ts
+++ b/src/shards/speed-tracker.ts
@@ -28,10 +28,10 @@
   }
 
   /** A task has completed; `now` is steady time in milliseconds. */
-  finished({ job, machine, state, stateSince, resumed }: Placement, now: number): void {
+  finished({ job, machine, state, stateSince, isResumed }: Placement, now: number): void {
     const { className, estimateS, checkpointS } = job.spec;
     // A task that checkpoints may have resumed where it was stopped: its run time says little then.
-    if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && resumed)) return;
+    if (state !== "running" || estimateS <= 0 || (checkpointS > 0 && isResumed)) return;
     const runMs = now - stateSince;
     const measured = runMs / 1000 / estimateS;
     const average = this.runtimeRatios.get(className) ?? measured;
@@ -46,11 +46,11 @@
     runs.count++;
     runs.totalMs += runMs;
     if (usualMs <= 0) return;
-    machine.comparedTasks++;
+    machine.comparedTaskCount++;
     machine.relativeRunTime += (runMs / usualMs - machine.relativeRunTime) * MACHINE_WEIGHT;
-    const slow = machine.comparedTasks >= MIN_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
-    if (slow === machine.slow) return;
-    machine.slow = slow;
+    const slow = machine.comparedTaskCount >= MIN_TASKS_OF_MACHINE && machine.relativeRunTime > SLOW_RATIO;
+    if (slow === machine.isSlow) return;
+    machine.isSlow = slow;
     const { host, relativeRunTime: relativeRun } = machine;
     this.log.info({ host, relativeRun }, slow ? "machine marked slow" : "machine not slow any more");
   }
--- a/src/shards/task-eviction.ts
+++ b/src/shards/task-eviction.ts
@@ -37,7 +37,7 @@
     let longestGraceMs = 0;
     for (const victim of victims) {
       const graceS = victim.job.spec.checkpointS > 0 ? victim.job.spec.saveS : 0;
-      victim.stop = { why: "preempt", graceS };
+      victim.stop = { reason: "preempt", graceS };
       longestGraceMs = Math.max(longestGraceMs, graceS * 1000);
     }
     const until = input.now + longestGraceMs + PREEMPTION_RESERVATION_HEARTBEATS * heartbeatIntervalMs;
@@ -51,7 +51,7 @@
       if (machine.interruptionNoticeS === null) continue;
       for (const placement of machine.placements)
         if (this.mustSaveNow(placement, machine.interruptionNoticeS))
-          placement.stop ??= { why: "drain", graceS: placement.job.spec.saveS };
+          placement.stop ??= { reason: "drain", graceS: placement.job.spec.saveS };
     }
   }
 
--- a/src/workers/heartbeat-reconciliation.ts
+++ b/src/workers/heartbeat-reconciliation.ts
@@ -38,8 +38,7 @@
   updateEpoch(machine, heartbeat.epoch, now, context.leaseMs);
   machine.sequence = heartbeat.sequence;
   machine.firstHeartbeatAt ??= now;
-  if (!context.isTokenOfTerm(heartbeat.highestToken))
-    return reconcileForeignTerm(machine, heartbeat, context);
+  if (!context.isTokenOfTerm(heartbeat.highestToken)) return reconcileOtherTerm(machine, heartbeat, context);
   machine.lastHeartbeatAt = now;
   machine.leaseExpiredAt = null;
   machine.interruptionNoticeS = heartbeat.interruptionNoticeS;
@@ -58,7 +57,7 @@
     const command = commandFor(placement);
     if (command !== null) commands.push(command);
   }
-  updateEmptiness(machine, now);
+  updateEmptyState(machine, now);
   // The response is limited once more when starts have been added; the caller counts the stops of this result as sent.
   return limitCommands(commands);
 }
@@ -74,14 +73,14 @@
  * the worker drops a response that takes longer than its time-out. Heartbeats after both say nothing of the lease any
  * more: the lease expires then, however many heartbeats come, and holds up neither the shard nor a job.
  */
-function reconcileForeignTerm(
+function reconcileOtherTerm(
   machine: Machine,
   heartbeat: Heartbeat,
   context: ReconciliationContext,
 ): WorkerCommand[] {
   const { now, termStartedAt, leaseMs } = context;
   if (now - termStartedAt <= leaseMs + HEARTBEAT_TIMEOUT_S * 1000) machine.lastHeartbeatAt = now;
-  return stopsOfEndedJobs(heartbeat, context);
+  return stopCommandsForEndedJobs(heartbeat, context);
 }
 
 /**
@@ -89,7 +88,7 @@
  * a lease would keep a cancelled task running for as long as each ends before the worker's second heartbeat. A stop
  * needs no proof: whatever has happened to the task since the heartbeat was sent, it must not go on.
  */
-function stopsOfEndedJobs(heartbeat: Heartbeat, { jobs }: ReconciliationContext): WorkerCommand[] {
+function stopCommandsForEndedJobs(heartbeat: Heartbeat, { jobs }: ReconciliationContext): WorkerCommand[] {
   return heartbeat.tasks
     .filter((task) => task.state !== "exited" && !isLive(jobs.get(task.job)))
     .map(({ job, index, attempt }) => ({ op: "stop", job, index, attempt, graceS: 0 }));
@@ -105,18 +104,21 @@
       placement.missedHeartbeats = 0;
       continue;
     }
-    const mayStartAgain =
-      placement.state === "assigned" && !placement.stop && !placement.job.terminating && machine.schedulable;
+    const canStartAgain =
+      placement.state === "assigned" &&
+      !placement.stop &&
+      !placement.job.isTerminating &&
+      machine.isSchedulable;
     // Guards against a task that waits for ever on a machine that no response reaches: this heartbeat proves that none
     // of the starts so far was received, and this response brings no other.
-    if (mayStartAgain && placement.missedHeartbeats++ < MAX_LOST_STARTS) continue;
-    if (mayStartAgain) machine.responsesLostSince ??= now;
+    if (canStartAgain && placement.missedHeartbeats++ < MAX_LOST_STARTS) continue;
+    if (canStartAgain) machine.responsesLostSince ??= now;
     release(placement);
   }
 }
 
-function updateEmptiness(machine: Machine, now: number): void {
-  if (!machine.empty) {
+function updateEmptyState(machine: Machine, now: number): void {
+  if (!machine.isEmpty) {
     machine.emptySince = null;
     machine.emptyHeartbeats = 0;
     return;
--- a/src/workers/lease-renewal.ts
+++ b/src/workers/lease-renewal.ts
@@ -24,7 +24,7 @@
   | "ended_task_started";
 
 /** The refusals that show a fault of this program rather than of its surroundings. */
-export const VIOLATIONS: ReadonlySet<RenewalRefusal> = new Set([
+export const INVARIANT_VIOLATIONS: ReadonlySet<RenewalRefusal> = new Set([
   "shard_behind_view",
   "ended_task_kept",
   "ended_task_started",
--- a/src/workers/lost-responses.ts
+++ b/src/workers/lost-responses.ts
@@ -2,7 +2,7 @@
 import type { Machine } from "./machine.js";
 
 /** After how many responses in a row an epoch must have ended to prove that none of them arrived. */
-const REMEMBERED_RESPONSES = 3;
+const RESPONSE_HISTORY_LENGTH = 3;
 
 /**
  * Records the epoch of a heartbeat. An epoch ends when the worker has received no response for a lease. Where responses
@@ -18,7 +18,9 @@
 function beginEpoch(machine: Machine, epoch: number, now: number, leaseMs: number): void {
   const oldest = machine.responseTimes[0];
   const wereResponsesSent =
-    machine.responseTimes.length === REMEMBERED_RESPONSES && oldest !== undefined && now - oldest < leaseMs;
+    machine.responseTimes.length === RESPONSE_HISTORY_LENGTH &&
+    oldest !== undefined &&
+    now - oldest < leaseMs;
   if (machine.epoch > 0 && wereResponsesSent) machine.responsesLostSince ??= now;
   machine.epoch = epoch;
   machine.epochSince = now;
@@ -35,5 +37,5 @@
 /** Records that a response is sent now, in steady time in milliseconds. */
 export function recordResponse(machine: Machine, now: number): void {
   machine.responseTimes.push(now);
-  if (machine.responseTimes.length > REMEMBERED_RESPONSES) machine.responseTimes.shift();
+  if (machine.responseTimes.length > RESPONSE_HISTORY_LENGTH) machine.responseTimes.shift();
 }
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -27,7 +27,7 @@
   /** The key of the group's record. */
   groupKey: string;
   /** Whether it has been selected for removal. */
-  draining: boolean;
+  isDraining: boolean;
   /** Whether an owner has ever received a heartbeat of it. Nothing is placed on it before this is written. */
   hasReported: boolean;
 }
@@ -47,7 +47,7 @@
     zone,
     spot,
     since,
-    draining: machineStage === "leaving",
+    isDraining: machineStage === "leaving",
     hasReported: machineStage !== "booting",
   };
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -45,27 +45,27 @@
   // Scheduling: written by the shard.
 
   /** Whether an earlier owner may have started tasks on it that no heartbeat has shown yet. */
-  unreconciled = false;
+  mayHaveUnreportedTasks = false;
   /** Before this nothing new may be placed here. */
   notBefore = -Infinity;
   /** Being transferred to another shard or drained: nothing new may be placed here. */
-  removalPending = false;
+  isRemovalPending = false;
   /** To run empty for another shard: nothing new is placed here meanwhile. Written by the shard's cordons. */
-  cordoned = false;
+  isCordoned = false;
 
   // Faults and speed: written by the shard's failure tracker and speed tracker.
 
   /** Jobs that failed here since a task last ended well, by id. */
   readonly failedJobs = new Set<string>();
-  quarantined = false;
+  isQuarantined = false;
   /** How long tasks run here in relation to others of their jobs: 1 is as long. */
   relativeRunTime = 1;
   /** How many tasks that was computed from. */
-  comparedTasks = 0;
+  comparedTaskCount = 0;
   /** Whether tasks take much longer here than elsewhere: the machine is filled last. */
-  slow = false;
+  isSlow = false;
 
-  private usedTotal: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
+  private usedSum: Resources = { cpus: 0, gpus: 0, memoryGb: 0 };
 
   constructor(
     readonly host: string,
@@ -75,55 +75,55 @@
   ) {}
 
   /** Whether the worker follows this owner and its lease may hold. */
-  get up(): boolean {
+  get isUp(): boolean {
     return this.followsTerm && this.leaseExpiredAt === null;
   }
 
   /** Whether an epoch has ended since responses were found lost: what ran here is gone, and nothing new will start. */
-  get responsesLost(): boolean {
+  get hasLostResponses(): boolean {
     return this.responsesLostSince !== null && this.epochSince >= this.responsesLostSince;
   }
 
   /** Whether new tasks may be placed here. */
-  get schedulable(): boolean {
-    return this.healthy && !this.cordoned;
+  get isSchedulable(): boolean {
+    return this.isHealthy && !this.isCordoned;
   }
 
   /** Whether it is up, recorded as such, reached by responses and not about to be removed. */
-  get healthy(): boolean {
+  get isHealthy(): boolean {
     return (
-      this.up &&
+      this.isUp &&
       this.record.hasReported &&
-      !this.removalPending &&
-      !this.record.draining &&
-      !this.quarantined &&
+      !this.isRemovalPending &&
+      !this.record.isDraining &&
+      !this.isQuarantined &&
       this.responsesLostSince === null &&
       this.interruptionNoticeS === null
     );
   }
 
   /** Whether nothing is on it, by the placements as well as by the last heartbeat. */
-  get empty(): boolean {
+  get isEmpty(): boolean {
     return this.placements.size === 0 && this.orphanTasks.size === 0 && this.reportedTasks.length === 0;
   }
 
   /** What its placements use together; kept, so that no heartbeat adds it up. */
   usedResources(): Readonly<Resources> {
-    return this.usedTotal;
+    return this.usedSum;
   }
 
   /** Records an attempt; without effect if it is recorded already. */
   attach(placement: Placement): void {
     if (this.placements.has(placement)) return;
     this.placements.add(placement);
-    addResources(this.usedTotal, placement.job.spec);
+    addResources(this.usedSum, placement.job.spec);
   }
 
   /** Removes an attempt; without effect if it is not recorded. */
   detach(placement: Placement): void {
     if (!this.placements.delete(placement)) return;
     // Sums of fractions drift; an empty machine is exactly empty.
-    if (this.placements.size === 0) this.usedTotal = { cpus: 0, gpus: 0, memoryGb: 0 };
-    else subtractResources(this.usedTotal, placement.job.spec);
+    if (this.placements.size === 0) this.usedSum = { cpus: 0, gpus: 0, memoryGb: 0 };
+    else subtractResources(this.usedSum, placement.job.spec);
   }
 }
--- a/src/workers/placement.ts
+++ b/src/workers/placement.ts
@@ -15,11 +15,11 @@
   /** Since when it has been in its state, as far as is known; steady time in milliseconds. */
   stateSince: number;
   /** Whether an earlier attempt of this task was stopped, so that this one may go on from its checkpoint. */
-  resumed: boolean;
+  isResumed: boolean;
   /** How many heartbeats in a row came in without this attempt, although the responses before them started it. */
   missedHeartbeats: number;
   /** Set once it has been decided to stop this attempt: why, and how long it may take to save. */
-  stop: { why: "preempt" | "drain"; graceS: number } | null;
+  stop: { reason: "preempt" | "drain"; graceS: number } | null;
 }
 
 /** An attempt that has been chosen and not yet seen in a heartbeat; `now` is steady time in milliseconds. */
@@ -38,7 +38,7 @@
     state: "assigned",
     stateSince: now,
     stop: null,
-    resumed: job.interruptedTasks.has(index),
+    isResumed: job.interruptedTasks.has(index),
     missedHeartbeats: 0,
   };
 }
--- a/src/workers/task-reconciliation.ts
+++ b/src/workers/task-reconciliation.ts
@@ -30,7 +30,7 @@
 ): WorkerCommand | null {
   const { state, index, attempt } = task;
   const job = context.jobs.get(task.job);
-  const placement = job?.active.get(index);
+  const placement = job?.activeAttempts.get(index);
   if (placement?.machine === machine && placement.attempt === attempt) reported.add(placement);
   const known = placement !== undefined && reported.has(placement) ? placement : null;
   if (state === "exited") return reconcileExitedTask(machine, task, job, known, context);
@@ -38,7 +38,7 @@
     updateState(known, state, context.now);
     return null;
   }
-  if (job === undefined || placement !== undefined || !mayGoOn(job, index)) {
+  if (job === undefined || placement !== undefined || !canContinue(job, index)) {
     machine.orphanTasks.add(`${task.job}/${index}`);
     return { op: "stop", job: task.job, index, attempt, graceS: 0 };
   }
@@ -49,8 +49,8 @@
 }
 
 /** Whether a task of which no attempt is known may go on. */
-function mayGoOn(job: Job, index: number): boolean {
-  return index < job.spec.tasks && !job.done.has(index) && !job.terminating;
+function canContinue(job: Job, index: number): boolean {
+  return index < job.spec.tasks && !job.done.has(index) && !job.isTerminating;
 }
 
 function updateState(placement: Placement, state: Placement["state"], now: number): void {
@@ -63,7 +63,7 @@
 /** An attempt that an earlier owner started: this owner goes on with it. */
 function inheritTask(machine: Machine, job: Job, { index, attempt }: TaskStatus, now: number): Placement {
   const inherited = newPlacement(job, index, attempt, machine, now);
-  inherited.resumed = true;
+  inherited.isResumed = true;
   attach(inherited);
   return inherited;
 }
@@ -88,7 +88,7 @@
   if (cause === "done") {
     // A result counts whichever attempt brought it. The worker may forget it only once it is durable.
     if (job.markDone(index)) context.onTaskExited(job, index, machine, "done");
-    return job.durable.has(index) || job.terminating ? forget : null;
+    return job.durablyDone.has(index) || job.isTerminating ? forget : null;
   }
   if (placement !== null) context.onTaskExited(job, index, machine, cause ?? "error");
   return forget;
--- a/src/workers/worker-commands.ts
+++ b/src/workers/worker-commands.ts
@@ -19,7 +19,7 @@
   const { job, index, attempt } = placement;
   const task = { job: job.spec.id, index, attempt };
   // Guards against a result that came in by another attempt: a done task must not go on.
-  if (job.terminating || job.done.has(index)) return { op: "stop", ...task, graceS: 0 };
+  if (job.isTerminating || job.done.has(index)) return { op: "stop", ...task, graceS: 0 };
   if (placement.state === "assigned") return { op: "start", ...task };
   if (placement.stop !== null && placement.state !== "saving")
     return { op: "stop", ...task, graceS: placement.stop.graceS };
