--- a/src/jobs/admission.ts
+++ b/src/jobs/admission.ts
@@ -28,9 +28,7 @@
   const fittingTypes = types.filter((type) => isAllowedType(spec, type) && fitsType(spec, type));
   if (fittingTypes.length === 0) return impossible("no allowed machine type fits a task");
   if (spec.spread && spec.tasks > 1 && !canSpread(spec, fittingTypes))
-    return impossible(
-      "spread allows at most half of the tasks in one zone, but the job can use only one zone",
-    );
+    return impossible("spread needs at least two zones, but the job can use only one");
   return { kind: "ok" };
 }
 
--- a/src/jobs/job-service.ts
+++ b/src/jobs/job-service.ts
@@ -208,10 +208,7 @@
       return await operation();
     } catch (err) {
       if (!(err instanceof StateStoreError)) throw err;
-      this.dependencies.log.debug(
-        { err },
-        "state service failed to answer; user request is reported as unavailable",
-      );
+      this.dependencies.log.debug({ err }, "state service failed to answer user request");
       return UNAVAILABLE;
     }
   }
--- a/src/workers/heartbeat-reconciliation.ts
+++ b/src/workers/heartbeat-reconciliation.ts
@@ -10,7 +10,7 @@
 import { reconcileTask, type TaskReconciliationContext } from "./task-reconciliation.js";
 import { commandFor, limitCommands } from "./worker-commands.js";
 
-/** After this many consecutive heartbeats that do not reflect the start command before them, responses count as lost. */
+/** After this many consecutive heartbeats that do not reflect the start command, responses count as lost. */
 const MAX_LOST_STARTS = 3;
 
 /** The shard state that reconciliation reads, and the callbacks that it calls. */
