--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** The command line: its commands, options and exit codes. */
+/** The command-line interface: commands, options and exit codes. */
 import { readFileSync } from "node:fs";
 import { Command } from "commander";
 import { readOperatorSettings, type OperatorSettings } from "../config/operator.js";
@@ -10,14 +10,14 @@
 import { createLogger } from "../runtime/log.js";
 import { collectLinkReports, linkExitCode, linkTable } from "./link-report.js";
 
-/** The exit code for settings that cannot be used. */
+/** Exit code for missing or invalid settings. */
 const INVALID_SETTINGS_EXIT_CODE = 2;
 
-/** The options of all commands, as commander gives them. */
+/** The options of all commands, as parsed by commander. */
 interface GlobalOptions {
-  /** The platform's settings file. */
+  /** Path of the platform's settings file. */
   config?: string;
-  /** The operators' settings file. */
+  /** Path of the operators' settings file. */
   operator?: string;
 }
 
@@ -26,16 +26,16 @@
   operator: OperatorSettings;
 }
 
-/** @throws SettingsError where a file is missing or a field is wrong. */
+/** @throws SettingsError if a file is missing or a field is invalid */
 async function loadSettings({ config, operator }: GlobalOptions): Promise<LoadedSettings> {
-  if (config === undefined) throw new SettingsError("--config <file> is needed");
+  if (config === undefined) throw new SettingsError("--config <file> is required");
   return {
     settings: parseSettings(readTextFile(config)),
     operator: await readOperatorSettings(operator),
   };
 }
 
-/** Reports unusable settings in one line on stderr and sets the exit code; passes on all other errors. */
+/** Runs a command; reports a SettingsError as one line on stderr and sets the exit code. Other errors are rethrown. */
 async function reportSettingsError(command: () => Promise<void>): Promise<void> {
   try {
     await command();
@@ -57,7 +57,7 @@
 
 async function checkConfig(options: GlobalOptions): Promise<void> {
   await loadSettings(options);
-  process.stdout.write("the settings are fine\n");
+  process.stdout.write("the settings are valid\n");
 }
 
 async function printLinks(options: GlobalOptions, asJson: boolean): Promise<void> {
@@ -79,30 +79,33 @@
 
 function createProgram(version: string): Command {
   const program = new Command("fernpond")
-    .description("A cluster scheduler: rents machines and places batch tasks on them, through failures.")
+    .description("Cluster scheduler that rents machines and runs batch tasks on them through failures.")
     .version(version)
-    .option("--config <file>", "the platform's settings (TOML)")
-    .option("--operator <file>", "the operators' own settings (HCL)")
+    .option("--config <file>", "path of the platform's settings file (TOML)")
+    .option("--operator <file>", "path of the operators' settings file (HCL)")
     .action((options: GlobalOptions) => reportSettingsError(() => startController(options)));
 
   program
     .command("check-config")
-    .description("check the settings, say what is wrong with them, and end")
+    .description("validate the settings files, report the first error and exit")
     .action(() => reportSettingsError(() => checkConfig(program.opts<GlobalOptions>())));
 
   program
     .command("links")
     .description(
-      "print the state of all controllers' links; exit code 1 if one is lost, 3 if a controller is silent",
+      "print the state of all controllers' links; exits with 1 if a link is lost, 3 if a controller does not respond, " +
+        "4 if a link monitor is off",
     )
-    .option("--json", "as JSON")
+    .option("--json", "print the report as JSON")
     .action(({ json = false }: { json?: boolean }) =>
       reportSettingsError(() => printLinks(program.opts<GlobalOptions>(), json)),
     );
   return program;
 }
 
-/** Parses the command line of this process and runs the command; `packageFile` is the package.json with the version. */
+/**
+ * Parses the command line of this process and runs the command; `packageFile` is the package.json that has the version.
+ */
 export async function runCommandLine(packageFile: URL): Promise<void> {
   await createProgram(readVersion(packageFile)).parseAsync();
 }
--- a/src/cli/link-report.ts
+++ b/src/cli/link-report.ts
@@ -1,4 +1,4 @@
-/** The `links` subcommand: requests the state of their links from all controllers, and formats it. */
+/** The `links` subcommand: collects the link status of all controllers and formats it. */
 import type { Settings } from "../config/settings.js";
 import {
   hasLostLink,
@@ -9,27 +9,29 @@
 } from "../links/status.js";
 import type { PeerNetwork } from "../peers/peer-network.js";
 
-/** The state of one controller's links. */
+/** The link status of one controller. */
 export interface NodeReport {
   /** The controller's name. */
   node: string;
-  /** Null where the controller did not answer with a status that can be read. */
+  /** Null if the controller did not respond with a valid status. */
   status: LinkStatus | null;
 }
 
-/** Exit codes, for scripts; a lost link comes before a controller without an answer, and that before a monitor that is off. */
+/**
+ * Exit codes for scripts. A lost link takes precedence over a missing response, and that over a monitor that is off.
+ */
 export const LINK_EXIT_CODES = {
-  /** Every controller answered, and none has lost a link. */
+  /** All controllers responded, all their monitors are on, and no link is lost. */
   ok: 0,
-  /** Some controller has lost a link. */
+  /** At least one controller has lost a link. */
   linkLost: 1,
-  /** Some controller did not answer, and none of the others has lost a link. */
+  /** At least one controller did not respond; none of the others has lost a link. */
   noResponse: 3,
-  /** Some controller's monitor is off, so that it cannot say; none has lost a link, and all answered. */
+  /** All controllers responded and none has lost a link, but at least one monitor is off and cannot detect a loss. */
   monitorOff: 4,
 } as const;
 
-/** Requests reports from the controller that the settings are for, and from all its peers. */
+/** Requests reports from the controller that the settings belong to, and from all its peers. */
 export async function collectLinkReports(
   settings: Pick<Settings, "node" | "peers">,
   network: Pick<PeerNetwork, "request">,
@@ -56,7 +58,7 @@
     : LINK_EXIT_CODES.ok;
 }
 
-/** Formats all reports as a table for people. The library is loaded only here, so that the daemon runs without it. */
+/** Formats all reports as a table. The table library is loaded only here, so that the controller runs without it. */
 export async function linkTable(reports: NodeReport[]): Promise<string> {
   const { default: Table } = await import("cli-table3");
   const table = new Table({
--- a/src/config/hcl-to-json.d.ts
+++ b/src/config/hcl-to-json.d.ts
@@ -1,4 +1,4 @@
-/** The types of hcl-to-json, which has none of its own. */
+/** Type declarations for hcl-to-json, which ships without any. */
 
 declare module "hcl-to-json" {
   export default function parseHcl(text: string): unknown;
--- a/src/config/operator.ts
+++ b/src/config/operator.ts
@@ -1,22 +1,22 @@
-/** The operators' own settings file (HCL): caps and parameters of the design that are open to tuning. */
+/** The operators' settings file (HCL): limits and tuning parameters. */
 import * as z from "zod";
 import { linkSettingsSchema, type LinkSettings } from "../links/settings.js";
 import { parseWith } from "../wire/index.js";
 import { firstLine, readTextFile, SettingsError } from "./settings-file.js";
 
-/** The operators' own settings, defaults filled in. */
+/** The operators' settings, with defaults applied. */
 export interface OperatorSettings {
-  /** The most machines that may be rented at a time. */
+  /** Maximum number of machines rented at the same time. */
   maxMachines: number;
-  /** The most tasks that the autoscaler rents machines for at a time. */
+  /** Maximum number of tasks that the autoscaler rents machines for at the same time. */
   maxTasks: number;
-  /** How long a machine must be empty before it is returned, in milliseconds; null: half its type's boot time. */
+  /** How long a machine must be idle before it is returned, in milliseconds; null: half of its type's boot time. */
   idleWaitMs: number | null;
-  /** The least time between two passes of the autoscaler, and between two summaries of a shard, in milliseconds. */
+  /** Minimum time between two passes of the autoscaler, and between two summaries of a shard, in milliseconds. */
   passSpacingMs: number;
-  /** The least time between two moves of shards to another controller by the leader, in milliseconds. */
+  /** Minimum time between two hand-overs with which the leader balances shards across controllers, in milliseconds. */
   shardMovePeriodMs: number;
-  /** The link monitor. */
+  /** Settings of the link monitor. */
   links: LinkSettings;
 }
 
@@ -43,8 +43,8 @@
   }));
 
 /**
- * Checks what was read from the file.
- * @throws SettingsError with the name of the first wrong field.
+ * Validates the parsed content of the file, and applies defaults.
+ * @throws SettingsError with the name of the first invalid field
  */
 export function checkOperatorSettings(raw: unknown): OperatorSettings {
   const result = parseWith(fileSchema, raw);
@@ -53,9 +53,9 @@
 }
 
 /**
- * Reads the file if there is one; all defaults otherwise. The parser is loaded only where it is needed, since most
+ * Reads the settings file; returns the defaults if `file` is undefined. The HCL parser is loaded on demand, since most
  * installations have no such file.
- * @throws SettingsError where the file cannot be read or a field is wrong.
+ * @throws SettingsError if the file cannot be read, is not HCL or has an invalid field
  */
 export async function readOperatorSettings(file: string | undefined): Promise<OperatorSettings> {
   if (file === undefined) return checkOperatorSettings({});
--- a/src/config/settings-file.ts
+++ b/src/config/settings-file.ts
@@ -1,15 +1,15 @@
-/** Reads settings files, and the error for settings that cannot be used. */
+/** Reading settings files, and the error for invalid settings. */
 import { readFileSync } from "node:fs";
 
-/** Where a fault in the settings is. */
+/** The location of an error in the settings. */
 interface SettingsErrorDetails extends ErrorOptions {
-  /** The file that cannot be used, where that is known. */
+  /** The file that cannot be read or parsed, if known. */
   readonly file?: string;
-  /** The wrong field, its path joined by dots, where the fault is in one field. */
+  /** The path of the invalid field, joined by dots, if the error is in a single field. */
   readonly field?: string | null;
 }
 
-/** Settings that cannot be used. The message is one line, and names the file or the field. */
+/** Thrown for missing or invalid settings. The message is a single line that names the file or the field, if known. */
 export class SettingsError extends Error {
   override readonly name = "SettingsError";
   readonly file: string | null;
@@ -22,14 +22,14 @@
   }
 }
 
-/** The first line of an error's message. */
+/** Returns the first line of an error's message. */
 export function firstLine({ message }: Error): string {
   return message.split("\n")[0] ?? "";
 }
 
 /**
- * Reads a file as text.
- * @throws SettingsError where the file cannot be read.
+ * Reads a file as UTF-8 text.
+ * @throws SettingsError if the file cannot be read
  */
 export function readTextFile(file: string): string {
   try {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,65 +1,65 @@
-/** The platform's settings file (TOML), checked. Unknown fields are ignored; the error for a wrong one names it. */
+/** Parses the platform's settings file (TOML). Unknown fields are ignored; the error for an invalid field names it. */
 import { parse } from "smol-toml";
 import * as z from "zod";
 import { parseWith } from "../wire/index.js";
 import { firstLine, SettingsError } from "./settings-file.js";
 
-/** A named group of users with its guarantee and limit. */
+/** A named group of users with its guaranteed resources and limits. */
 export interface Team {
   name: string;
   /** Guaranteed processors. */
   cpus: number;
-  /** The most processors that its tasks may use at a time; 0: no limit. */
+  /** Maximum number of processors that its tasks may use at the same time; 0: no limit. */
   cpusMax: number;
   /** Guaranteed GPUs. */
   gpus: number;
-  /** The most GPUs that its tasks may use at a time; 0: no limit. */
+  /** Maximum number of GPUs that its tasks may use at the same time; 0: no limit. */
   gpusMax: number;
 }
 
 /** A service-level objective for a class of jobs. */
 export interface Objective {
   kind: string;
-  /** The class of jobs; null for those without one of their own. */
+  /** The class of jobs; null if the objective names none. */
   className: string | null;
-  /** The objective's time, in seconds; null where it has none. */
+  /** The target time, in seconds; null if the objective has none. */
   withinS: number | null;
 }
 
-/** What the platform expects of workers and their owners. */
+/** Timing requirements for workers and their shards' owners. */
 interface WorkerSettings {
   /** The interval between two heartbeats of a worker, in milliseconds. */
   heartbeatIntervalMs: number;
-  /** How long a worker goes on without a lease renewal, in milliseconds. */
+  /** How long a worker continues without a lease renewal, in milliseconds. */
   leaseMs: number;
   /** The time within which all tasks of a cancelled job must be gone, in milliseconds. */
   cancelMs: number;
 }
 
-/** Limits of the state service. */
+/** Limits of the state store. */
 interface StateStoreSettings {
-  /** Requests per second, of all controllers together. */
+  /** Maximum requests per second, for all controllers together. */
   rps: number;
-  /** Writes per second, of all controllers together. */
+  /** Maximum writes per second, for all controllers together. */
   writeRps: number;
-  /** The largest value, in bytes. */
+  /** Maximum size of a value, in bytes. */
   valueBytes: number;
-  /** The most conditions and writes in one transaction. */
+  /** Maximum number of conditions and writes in one transaction. */
   txnOps: number;
 }
 
-/** Limits of the cloud's interface. */
+/** Limits of the cloud API. */
 interface CloudSettings {
-  /** Requests per second. */
+  /** Maximum requests per second. */
   rps: number;
-  /** How old the cloud's list of machines may be, in milliseconds. */
+  /** Maximum staleness of the cloud's list of machines, in milliseconds. */
   listLagMs: number;
 }
 
 /** Another controller. */
 interface PeerAddress {
   node: string;
-  /** Where it listens to other controllers, host:port. */
+  /** The address at which it listens for other controllers, host:port. */
   address: string;
 }
 
@@ -69,17 +69,17 @@
   node: string;
   /** The zone of this controller. */
   zone: string;
-  /** Where this controller listens to users, workers and health checks, host:port. */
+  /** The address at which this controller listens for users, workers and health checks, host:port. */
   listen: string;
-  /** Where this controller listens to other controllers, host:port. */
+  /** The address at which this controller listens for other controllers, host:port. */
   peerListen: string;
   /** All other controllers. */
   peers: PeerAddress[];
-  /** The state service, host:port. */
+  /** Address of the state store, host:port. */
   stateAddress: string;
-  /** The cloud's interface, host:port. */
+  /** Address of the cloud API, host:port. */
   cloudAddress: string;
-  /** How many controllers the cluster has; there are as many shards. */
+  /** Number of controllers in the cluster, which is also the number of shards. */
   controllers: number;
   /** All zones of the cluster. */
   zones: string[];
@@ -88,7 +88,7 @@
   workers: WorkerSettings;
   state: StateStoreSettings;
   cloud: CloudSettings;
-  /** How many sockets this process may have open. */
+  /** Maximum number of sockets that this process may have open. */
   maxSockets: number;
 }
 
@@ -119,7 +119,7 @@
           }),
         )
         .min(1),
-      // Only the objectives for how soon a class of jobs should start or finish are of use here.
+      // Only objectives for how soon a class of jobs should start or finish are used.
       objectives: z
         .array(z.object({ kind: z.string(), class: z.string().nullish(), within_s: positive.nullish() }))
         .default([]),
@@ -172,8 +172,8 @@
   }));
 
 /**
- * Checks the text of a settings file.
- * @throws SettingsError where it is no TOML or a field is wrong.
+ * Parses and validates the text of a settings file.
+ * @throws SettingsError if the text is not TOML or a field is invalid
  */
 export function parseSettings(text: string): Settings {
   const result = parseWith(fileSchema, parseToml(text));
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -1,4 +1,4 @@
-/** The composition root: makes the parts of one controller and connects them. */
+/** The composition root: creates the components of one controller and wires them together. */
 import { Autoscaler } from "../autoscaling/autoscaler.js";
 import { CloudClient } from "../cloud/cloud-client.js";
 import type { OperatorSettings } from "../config/operator.js";
@@ -29,8 +29,8 @@
 import { deriveTimings, type Timings } from "./timings.js";
 
 /**
- * The parts of one controller. Several refer to each other: those that are made later are reached through callbacks,
- * none of which is called before all parts exist.
+ * The components of one controller. Some depend on each other cyclically; a component that is created later is accessed
+ * through a callback, and no callback is called before all components exist.
  */
 export class ControllerParts {
   readonly timings: Timings;
@@ -47,7 +47,7 @@
   readonly peerRequests: PeerRequestHandler;
   readonly metrics = new DecisionMetrics();
 
-  /** Tells this life of the controller from earlier ones. */
+  /** Distinguishes this run of the controller from earlier ones on the same node. */
   private readonly incarnation = crypto.randomUUID();
   private readonly machineTypes = new MachineTypes();
   private readonly fleet: Fleet;
@@ -113,7 +113,7 @@
       observed.cloud,
       this.settings.cloud.rps,
       this.dependencies.clock,
-      // A call to the cloud takes a good part of a second; a lost one is sent again under the same name.
+      // Calls to the cloud can take most of a second; a lost order is retried under the same name, which is idempotent.
       HEARTBEAT_TIMEOUT_S * 1000,
     );
   }
@@ -131,7 +131,7 @@
   private makeMembership(): Membership {
     return new Membership({
       self: { node: this.settings.node, incarnation: this.incarnation },
-      // There are as many shards as controllers.
+      // The number of shards equals the number of controllers.
       shards: this.settings.controllers,
       controllers: this.settings.controllers,
       timings: this.timings,
@@ -142,8 +142,8 @@
         onOwnershipChanged: () => {
           this.shards.reconcileOwnership();
         },
-        requestHandOver: (owner, shard, targetNode) => {
-          this.controllerRequests.requestHandOver(owner, shard, targetNode);
+        requestHandOver: (owner, shard, successor) => {
+          this.controllerRequests.requestHandOver(owner, shard, successor);
         },
         isCutOffFromWorkers: (node) => this.links.policy.isCutOffFromWorkers(node),
       },
--- a/src/controller/controller-requests.ts
+++ b/src/controller/controller-requests.ts
@@ -1,4 +1,4 @@
-/** Requests of this process to controllers: to a peer over the network, to itself directly. */
+/** Sends requests to controllers: to peers over the network, to this controller by a direct call. */
 import type { UserRequest, UserResponse } from "../http/user-requests.js";
 import type { TaskProgress } from "../jobs/job-service.js";
 import type { PeerReply, PeerRequest } from "../peers/peer-messages.js";
@@ -6,26 +6,26 @@
 import { parseJson } from "../runtime/http-body.js";
 import { EMPTY_REPLY } from "./peer-request-handler.js";
 
-/** What requests to controllers need of the rest of the process. */
+/** Dependencies of `ControllerRequests`. */
 export interface ControllerRequestsDependencies {
   /** This controller's name. */
   readonly node: string;
   readonly peers: Pick<PeerNetwork, "request">;
-  /** Answers a request of this controller to itself. */
+  /** Handles a request that this controller sends to itself. */
   readonly answerLocally: PeerHandler;
-  /** The controller that owns a shard, or null where none is known. */
+  /** The controller that owns a shard, or null if no owner is known. */
   readonly ownerOf: (shard: number) => string | null;
-  /** How long a forwarded user's request may take, in milliseconds. */
+  /** Timeout of a forwarded user request, in milliseconds. */
   readonly forwardTimeoutMs: number;
 }
 
-/** Sends requests to controllers by name or by the shard that they own. */
+/** Sends requests to controllers, addressed by name or by the shard that they own. */
 export class ControllerRequests {
   constructor(private readonly dependencies: ControllerRequestsDependencies) {}
 
   /**
-   * Sends a request to a controller; the reply is empty where there is none to send it to.
-   * @throws PeerUnreachableError where a peer does not answer in time.
+   * Sends a request to a controller. If `node` is null, nothing is sent and the reply is empty.
+   * @throws PeerUnreachableError if a peer does not respond in time
    */
   send(node: string | null, request: PeerRequest): Promise<PeerReply> {
     const { node: self, answerLocally, peers } = this.dependencies;
@@ -34,35 +34,38 @@
   }
 
   /**
-   * Sends a request to the owner of a shard.
-   * @throws PeerUnreachableError where a peer does not answer in time.
+   * Sends a request to the owner of a shard. If no owner is known, nothing is sent and the reply is empty.
+   * @throws PeerUnreachableError if a peer does not respond in time
    */
   sendToOwner(shard: number, request: PeerRequest): Promise<PeerReply> {
     return this.send(this.dependencies.ownerOf(shard), request);
   }
 
-  /** Asks an owner to hand its shard over; whether it is told is not waited for. */
-  requestHandOver(owner: string, shard: number, targetNode: string): void {
-    this.send(owner, { handOver: { shard, targetNode } }).catch(() => undefined);
+  /**
+   * Asks the owner of a shard to hand it over to the node `successor`. The result is not awaited, errors are ignored.
+   */
+  requestHandOver(owner: string, shard: number, successor: string): void {
+    this.send(owner, { handOver: { shard, targetNode: successor } }).catch(() => undefined);
   }
 
   /**
-   * Guards against starts after a confirmed cancellation where the owner alone cannot follow the records: the watch tells
-   * it otherwise, and the bound on the age of its view holds whether or not this arrives.
+   * Tells the owner of a job's shard that the job was cancelled, so that it starts no further tasks of a job whose
+   * cancellation is confirmed, even if it alone cannot follow the records. Usually it learns of the cancellation from
+   * its watch. Delivery is not required for safety: the maximum age of the owner's view holds in any case.
    */
   notifyOwnerOfCancellation(shard: number, job: string): void {
     this.sendToOwner(shard, { jobCancelled: { shard, job } }).catch(() => undefined);
   }
 
-  /** Asks the owner of a job's shard how many of its tasks are done and running; null where it does not know. */
+  /** Asks the owner of a job's shard how many tasks are done and running; null if it does not know or respond. */
   async taskCounts(shard: number, job: string): Promise<TaskProgress | null> {
     const reply = await this.sendToOwner(shard, { taskCounts: { shard, job } }).catch(() => null);
     return reply !== null && "counts" in reply && reply.counts.known ? reply.counts : null;
   }
 
   /**
-   * Has a peer answer a user's request.
-   * @throws PeerUnreachableError where the peer does not answer in time.
+   * Forwards a user's request to a peer and returns the peer's response.
+   * @throws PeerUnreachableError if the peer does not respond in time
    */
   async forward(peer: string, { method, path, body }: UserRequest): Promise<UserResponse> {
     const text = body === undefined ? "" : JSON.stringify(body);
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -1,4 +1,4 @@
-/** The lifecycle of one controller: it follows the records, listens to users, workers and peers, and closes. */
+/** The lifecycle of one controller: watches the records, serves users, workers and peers, and shuts down. */
 import { pipeline, type Readable } from "node:stream";
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
@@ -13,10 +13,10 @@
 import { ControllerParts } from "./composition.js";
 import { createDependencies, type ControllerDependencies } from "./dependencies.js";
 
-/** A failed watch is begun again after so many times the spacing of its requests. */
+/** Delay before a failed watch is restarted, as a multiple of the minimum interval between watch requests. */
 const WATCH_RETRY_INTERVALS = 4;
 
-/** A controller that listens to users and workers on `port`, and to other controllers on `peerPort`. */
+/** A controller that serves users and workers on `port`, and other controllers on `peerPort`. */
 export interface RunningController extends ListeningServer {
   peerPort: number;
 }
@@ -37,7 +37,7 @@
     this.parts = new ControllerParts(settings, operator, log, dependencies);
   }
 
-  /** What users, workers and health checks reach. */
+  /** The handlers behind the HTTP interface for users, workers, operators and health checks. */
   get httpDependencies(): HttpDependencies {
     const { links, heartbeatRouter, health, metrics, requestForwarder } = this.parts;
     return {
@@ -53,17 +53,19 @@
     };
   }
 
-  /** The exchange of link views with other controllers; null while the link monitor is off. */
+  /** The exchange of link views with other controllers; null if the link monitor is off. */
   get viewExchange(): LinkViewExchange | null {
     return this.parts.peers.viewExchange;
   }
 
-  /** Answers another controller's request, or one of this process itself. */
+  /** Handles a request from another controller or from this process itself. */
   answerPeer(request: PeerRequest): Promise<PeerReply> {
     return this.parts.peerRequests.handle(request);
   }
 
-  /** Follows the records and acts on them; the function that is returned stops that and closes all connections to peers. */
+  /**
+   * Starts watching the records and acting on them. The returned function stops this and closes all peer connections.
+   */
   followRecords(): () => void {
     const { membership, peers, timings } = this.parts;
     const stopped = new AbortController();
@@ -80,7 +82,7 @@
     };
   }
 
-  /** Follows the records and begins to listen to users, workers and peers. */
+  /** Starts watching the records, and listening for users, workers and peers. */
   async start(): Promise<RunningController> {
     const stopFollowing = this.followRecords();
     const peerPort = await this.parts.peers.listen(this.settings.peerListen, (request) =>
@@ -107,7 +109,7 @@
     const watchPrefixes = { listed: LIVE_PREFIX, watched: ROOT_PREFIX };
     const watch = watchRecords(state, watchPrefixes, pacing, this.clock, this.log);
     pipeline(watch, replica, (err) => {
-      if (err && !stopped.aborted) this.log.error({ err }, "watch of the records ended");
+      if (err && !stopped.aborted) this.log.error({ err }, "records watch ended with an error");
     });
     return watch;
   }
--- a/src/controller/dependencies.ts
+++ b/src/controller/dependencies.ts
@@ -1,4 +1,4 @@
-/** The clock and the network connections of a controller. Tests put stand-ins in their place. */
+/** The clock and the network connections of a controller; tests replace them with fakes. */
 import type { Settings } from "../config/settings.js";
 import type { PeerNetwork } from "../peers/peer-network.js";
 import { TcpPeerNetwork } from "../peers/tcp-peer-network.js";
@@ -7,24 +7,24 @@
 import type { Logger } from "../runtime/log.js";
 import { peerTimeoutMs } from "./timings.js";
 
-/** The least number of connections for calls to the state service. */
+/** Minimum number of connections for calls to the state store. */
 const MIN_STATE_STORE_SOCKETS = 4;
-/** Calls to the state service may use one in so many of the process's sockets. */
+/** Calls to the state store may use one out of this many of the process's sockets. */
 const SOCKETS_PER_STATE_STORE_SOCKET = 50;
 const WATCH_SOCKETS = 2;
 const CLOUD_SOCKETS = 4;
 
-/** The clock, and the connections to all other services and controllers. */
+/** The clock, and the clients for all external services and other controllers. */
 export interface ControllerDependencies {
   clock: SteadyClock;
   state: JsonClient;
-  /** Watches hold a connection each, so they must not queue with calls. */
+  /** Each watch occupies a connection while it is open; a client of their own keeps calls from queueing behind them. */
   watches: JsonClient;
   cloud: JsonClient;
   peers: PeerNetwork;
 }
 
-/** Makes the real clock and network connections, to the addresses in the settings. */
+/** Creates the production clock, and clients for the addresses in the settings. */
 export function createDependencies(settings: Settings, log: Logger): ControllerDependencies {
   const { stateAddress, cloudAddress, maxSockets } = settings;
   const stateStoreSockets = Math.max(
--- a/src/controller/health-monitor.ts
+++ b/src/controller/health-monitor.ts
@@ -1,37 +1,38 @@
-/** Whether this controller follows the records and is of use to its users; pings peers while it does not follow them. */
+/** Determines whether this controller can serve users; pings peers while its replica of the records is behind. */
 import type { PeerNetwork } from "../peers/peer-network.js";
 import type { SteadyClock } from "../runtime/clock.js";
 import type { Replica } from "../state/replica.js";
 
-/** Pings that are sent to each peer within the time after which a node without an answer counts as cut off. */
+/** Number of pings to each peer within the time after which a node without a response counts as cut off. */
 const PINGS_PER_MAX_REPLICA_LAG = 4;
 
-/** What the health monitor needs of the rest of the process. */
+/** Dependencies of the health monitor. */
 export interface HealthMonitorDependencies {
   readonly replica: Pick<Replica, "completeAsOf">;
   readonly peers: Pick<PeerNetwork, "lastResponseAt" | "request">;
   /** Names of all other controllers. */
   readonly peerNames: readonly string[];
-  /** A replica that has not been current for longer than this is behind, in milliseconds. */
+  /** Maximum time since the replica was last known to be current before it counts as behind, in milliseconds. */
   readonly maxReplicaLagMs: number;
   readonly clock: SteadyClock;
 }
 
-/** Judges the health of this controller. */
+/** Determines the health of this controller, as reported to health checks. */
 export class HealthMonitor {
   private lastPingAt = -Infinity;
 
   constructor(private readonly dependencies: HealthMonitorDependencies) {}
 
-  /** Whether the records have not been followed for longer than a quiet watch stays open. */
+  /** Whether the replica lags by more than the maximum, which is longer than an idle watch stays open. */
   isBehind(): boolean {
     const { clock, replica, maxReplicaLagMs } = this.dependencies;
     return clock() - replica.completeAsOf > maxReplicaLagMs;
   }
 
   /**
-   * A node that cannot follow the records stays healthy while peers answer it: either they answer its users' requests
-   * too, or the state service is down for all and no node would do better. Cut off from both, it sends users elsewhere.
+   * Whether users should be sent to this node. A node that cannot follow the records stays healthy while peers respond
+   * to it: either they also answer its users' requests, or the state store is down for every node and no other node
+   * would do better. A node cut off from both is unhealthy, so that users are sent elsewhere.
    */
   isHealthy(): boolean {
     const { clock, replica, peers, peerNames, maxReplicaLagMs } = this.dependencies;
@@ -40,7 +41,7 @@
     return clock() - peers.lastResponseAt < maxReplicaLagMs;
   }
 
-  /** Pings all peers from time to time while the records are not followed: `isHealthy` goes by their answers. */
+  /** Pings all peers periodically while the replica is behind; `isHealthy` relies on their responses. */
   tick(): void {
     if (!this.isBehind()) return;
     const { clock, peers, peerNames, maxReplicaLagMs } = this.dependencies;
--- a/src/controller/heartbeat-router.ts
+++ b/src/controller/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Routes heartbeats to the owner of their machine's shard. The way of a heartbeat is described in http/heartbeats.ts. */
+/** Routes heartbeats to the owner of their machine's shard; http/heartbeats.ts describes all steps of a heartbeat. */
 import type { Autoscaler } from "../autoscaling/autoscaler.js";
 import type { HeartbeatRouting } from "../http/heartbeats.js";
 import type { LinkMonitoring } from "./link-monitoring.js";
@@ -11,27 +11,27 @@
 import { commandsToWire, HEARTBEAT_TIMEOUT_S, type Heartbeat } from "../wire/index.js";
 import type { Fleet } from "../workers/fleet.js";
 
-/** What the router needs of the rest of the process. */
+/** Dependencies of the heartbeat router. */
 export interface HeartbeatRouterDependencies {
   /** This controller's name. */
   readonly node: string;
   readonly fleet: Fleet;
   readonly membership: Membership;
   readonly autoscaler: Autoscaler;
-  /** The owner of a shard, if it is in this process. */
+  /** The owner of a shard; undefined if this process does not own it. */
   readonly ownerOf: (shard: number) => ShardOwner | undefined;
   readonly requestController: (node: string | null, request: PeerRequest) => Promise<PeerReply>;
   readonly clock: SteadyClock;
-  /** The least time between two notices to an owner that its workers send their heartbeats here, in milliseconds. */
+  /** Minimum time between two notices to an owner that its workers send their heartbeats here, in milliseconds. */
   readonly minMisroutedNoticeIntervalMs: number;
-  /** The most machines that the cluster may have. */
+  /** Maximum number of machines in the cluster. */
   readonly maxMachines: number;
   readonly links: Pick<LinkMonitoring, "recordHeartbeat" | "recordMisroutedHeartbeat">;
 }
 
-/** Has heartbeats of this process's shards answered by their owners, and redirects all others. */
+/** Passes heartbeats for shards of this process to their owners, and redirects all other workers. */
 export class HeartbeatRouter {
-  /** When the owner of a shard was last notified that its workers send their heartbeats here; steady time. */
+  /** By shard: when its owner was last notified of heartbeats that arrived here; steady time in milliseconds. */
   private readonly lastMisroutedNoticeAt = new Map<number, number>();
 
   private readonly redirected: RedirectedWorkers;
@@ -40,11 +40,11 @@
     this.redirected = new RedirectedWorkers(dependencies.maxMachines, HEARTBEAT_TIMEOUT_S * 1000);
   }
 
-  /** Resolves to the owner's answer to a heartbeat, or to the controller that the worker is redirected to. */
+  /** Resolves to the owner's response to a heartbeat, or to the controller that the worker is redirected to. */
   async route(heartbeat: Heartbeat): Promise<HeartbeatRouting> {
     const record = this.dependencies.fleet.get(heartbeat.host);
     if (record === undefined) {
-      // Only the leader assigns machines to shards; the worker sends its heartbeat again until that is done.
+      // Only the leader assigns machines to shards; the worker repeats its heartbeat until its machine is assigned.
       const leader = this.dependencies.membership.leader();
       if (leader !== this.dependencies.node) return { kind: "redirect", owner: leader };
       this.dependencies.autoscaler.tell({ kind: "unknown_machine", heartbeat });
@@ -65,11 +65,14 @@
   }
 
   /**
-   * Guards against losing all tasks of a shard whose owner is cut off from its workers alone: its lease lives on, and the
-   * others would redirect its workers to it until their leases have expired. A worker that follows the owner's token has
-   * reached it before; if its heartbeat comes here now, the owner is notified, and hands the shard over if it receives no
-   * heartbeat at all. The same holds for a worker that was redirected to that owner before and comes back without its
-   * token: a new owner may never have been reached.
+   * Notifies the owner of a shard that one of its workers sent a heartbeat here; the owner hands the shard over if it
+   * receives no heartbeats at all. Otherwise, if an owner is cut off from its workers only, its membership lease stays
+   * valid, and the other controllers redirect its workers to it until the workers' leases expire and all tasks are
+   * lost.
+   *
+   * Only two kinds of workers count: those whose highest token is the owner's, since they have reached it before, and
+   * those that were redirected to this owner before and return without its token, since a new owner may never have been
+   * reachable.
    */
   private reportMisroutedHeartbeat(shard: number, heartbeat: Heartbeat): void {
     const owner = this.dependencies.membership.owner(shard);
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -1,4 +1,4 @@
-/** Connects the link monitor with the rest of the process, or leaves everything as it is while the monitor is off. */
+/** Connects the link monitor to the rest of the process; has no effect if the monitor is off. */
 import type { CloudClient } from "../cloud/cloud-client.js";
 import type { OperatorSettings } from "../config/operator.js";
 import type { Settings } from "../config/settings.js";
@@ -19,21 +19,21 @@
 import type { Timings } from "./timings.js";
 import { HEALTH_CHECK_S, HEARTBEAT_TIMEOUT_S } from "../wire/index.js";
 
-/** The number of missed health checks after which the users' load balancer counts as silent. */
+/** Number of missed health checks after which the users' load balancer counts as silent. */
 const MISSED_HEALTH_CHECKS_UNTIL_SILENT = 5;
 
-/** What the link monitoring is made from. */
+/** Dependencies of the link monitoring. */
 export interface LinkMonitoringDependencies {
   readonly settings: Settings;
   readonly operator: OperatorSettings;
   readonly timings: Timings;
-  /** Tells this life of the controller from earlier ones. */
+  /** Distinguishes this run of the controller from earlier ones on the same node. */
   readonly incarnation: string;
   readonly clock: SteadyClock;
   readonly log: Logger;
 }
 
-/** The actors that the monitor queries and sends messages to; they are made after it. */
+/** The components that the monitor queries and sends messages to; they are created after it. */
 export interface MonitoredActors {
   membership: Membership;
   shards: ShardHost;
@@ -41,7 +41,7 @@
   peers: PeerNetwork;
 }
 
-/** The link monitor of one controller, if operators have switched it on. */
+/** The link monitor of one controller, if operators have enabled it. */
 export class LinkMonitoring {
   private readonly node: string;
   private readonly monitor: LinkMonitor | null;
@@ -56,34 +56,34 @@
         : new LinkMonitor(monitorOptions(dependencies, mode), this.monitorCallbacks(), dependencies.log);
   }
 
-  /** The policy as it applies right now. */
+  /** The policy that currently applies. */
   get policy(): LinkPolicy {
     return this.monitor ?? UNRESTRICTED;
   }
 
-  /** Connects the actors, which exist from now on. */
+  /** Connects the monitor to the other components; called once, when they have been created. */
   attach(actors: MonitoredActors): void {
     this.actors = actors;
     if (this.monitor !== null) actors.peers.viewExchange = this.monitor;
   }
 
-  /** The network with all calls observed by the monitor; unchanged while the monitor is off. */
-  observe(network: ControllerDependencies): ControllerDependencies {
-    if (this.monitor === null) return network;
-    const { clock } = network;
+  /** Wraps the clients so that the monitor observes their calls; returns them unchanged if the monitor is off. */
+  observe(dependencies: ControllerDependencies): ControllerDependencies {
+    if (this.monitor === null) return dependencies;
+    const { clock } = dependencies;
     const { sink } = this;
     const state = { link: "state" as const, isRefusal: isUnavailable, sink, clock };
     const cloud = { link: "cloud" as const, isRefusal: isCloudUnavailable, sink, clock };
     return {
       clock,
-      state: new ObservedJsonClient(network.state, { ...state, timed: true }),
-      watches: new ObservedJsonClient(network.watches, { ...state, timed: false }),
-      cloud: new ObservedJsonClient(network.cloud, { ...cloud, timed: false }),
-      peers: new ObservedPeerNetwork(network.peers, sink),
+      state: new ObservedJsonClient(dependencies.state, { ...state, timed: true }),
+      watches: new ObservedJsonClient(dependencies.watches, { ...state, timed: false }),
+      cloud: new ObservedJsonClient(dependencies.cloud, { ...cloud, timed: false }),
+      peers: new ObservedPeerNetwork(dependencies.peers, sink),
     };
   }
 
-  /** A handler whose requests are observed by the monitor; unchanged while the monitor is off. */
+  /** Wraps a handler so that the monitor observes its requests; returns it unchanged if the monitor is off. */
   observeUsers(users: UserRequestHandler): UserRequestHandler {
     if (this.monitor === null) return users;
     return {
@@ -94,12 +94,14 @@
     };
   }
 
-  /** Notes that a user's request or a health check was received. */
+  /** Records that a user request or a health check was received. */
   recordUserRequest(): void {
     if (this.monitor !== null) this.sink({ kind: "delivered", link: "users", direction: "inbound" });
   }
 
-  /** Notes a heartbeat for a shard of this process; the token of the present term shows that the worker got an answer. */
+  /**
+   * Records a heartbeat for a shard of this process. The current token proves that the worker has received a response.
+   */
   recordHeartbeat(shard: number, token: number): void {
     if (this.monitor === null) return;
     this.sink({ kind: "delivered", link: "workers", direction: "inbound" });
@@ -107,17 +109,17 @@
       this.sink({ kind: "delivered", link: "workers", direction: "outbound" });
   }
 
-  /** Notes a heartbeat of a worker of another controller's shard. */
+  /** Records a heartbeat from a worker of another controller's shard. */
   recordMisroutedHeartbeat(shard: number, term: number, host: string): void {
     this.monitor?.tell({ kind: "misrouted", shard, term, host });
   }
 
-  /** Has the monitor act on the time that has passed. */
+  /** Lets the monitor handle timeouts and periodic work. */
   tick(): void {
     this.monitor?.tell({ kind: "tick" });
   }
 
-  /** The state of all links, as operators see it. */
+  /** The state of all links, as reported to operators. */
   status(): LinkStatus {
     return this.monitor?.status() ?? statusWhileOff(this.node);
   }
@@ -134,8 +136,8 @@
       probe: (link) => {
         this.probe(link);
       },
-      handOver: (shard, targetNode) => {
-        this.actors?.membership.tell({ kind: "hand_over", shard, successor: targetNode });
+      handOver: (shard, successor) => {
+        this.actors?.membership.tell({ kind: "hand_over", shard, successor });
       },
       resign: () => {
         this.actors?.membership.tell({ kind: "resign" });
@@ -143,7 +145,7 @@
     };
   }
 
-  /** Probes a link; the result is observed like that of any other call. */
+  /** Probes a link with an ordinary call, whose outcome is observed like that of any other call. */
   private probe(link: LinkName): void {
     if (this.actors === null) return;
     const { cloud, peers } = this.actors;
@@ -172,7 +174,7 @@
       shardMovePeriodMs,
     }),
     probes: { cloudRps: cloud.rps, controllers, share: links.probe_share },
-    // A worker that gets no answer sends its heartbeat to another controller after its time-out.
+    // A worker without a response sends its next heartbeat to another controller after its timeout.
     misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.heartbeatIntervalMs,
     maxMachines,
     usersSilentMs: MISSED_HEALTH_CHECKS_UNTIL_SILENT * HEALTH_CHECK_S * 1000,
--- a/src/controller/machine-types.ts
+++ b/src/controller/machine-types.ts
@@ -1,4 +1,4 @@
-/** The machine types that the cloud offers, as the records hold them. */
+/** The machine types that the cloud offers, as stored in the records. */
 import { prefixes } from "../state/keys.js";
 import type { Replica } from "../state/replica.js";
 import type { MachineType } from "../wire/index.js";
@@ -7,7 +7,7 @@
 export class MachineTypes {
   private typesByName = new Map<string, MachineType>();
 
-  /** The types as last loaded; a later load gives a new map. */
+  /** The types as of the last load; each load creates a new map. */
   get byName(): Map<string, MachineType> {
     return this.typesByName;
   }
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -1,4 +1,4 @@
-/** Answers requests of other controllers: each is passed to the actor that it is for. */
+/** Handles requests from other controllers by passing each to the component responsible for it. */
 import type { Autoscaler } from "../autoscaling/autoscaler.js";
 import type { UserRequestHandler } from "../http/user-requests.js";
 import type { LinkStatus } from "../links/status.js";
@@ -7,32 +7,32 @@
 import type { ShardOwner } from "../shards/shard-owner.js";
 import { parseJson } from "../runtime/http-body.js";
 
-/** The reply to a request that asks for no data. */
+/** The reply that carries no data. */
 export const EMPTY_REPLY: PeerReply = { accepted: { hosts: [] } };
 
-/** The parts of the controller that requests of other controllers are passed to. */
+/** The components that requests from other controllers are passed to. */
 export interface PeerRequestTargets {
   readonly autoscaler: Autoscaler;
   readonly membership: Membership;
   readonly users: UserRequestHandler;
-  /** The owner of a shard, if it is in this process. */
+  /** The owner of a shard; undefined if this process does not own it. */
   readonly ownerOf: (shard: number) => ShardOwner | undefined;
-  /** Whether a shard may be handed over for the sake of its workers. */
+  /** Whether a shard may be handed over so that its workers can reach its owner; each call counts as an attempt. */
   readonly tryAcquireHandOver: (shard: number) => boolean;
   /** The state of this controller's links. */
   readonly linkStatus: () => LinkStatus;
-  /** Records the load of a shard and returns the loads of all shards. */
+  /** Records a shard's load; returns the loads of all shards if jobs are assigned by load. */
   readonly recordSummary: (summary: ShardSummary) => ShardLoadReport[];
 }
 
-/** The body of one kind of request. */
+/** The body of a request of the given kind. */
 type BodyOf<Kind extends string> = Extract<PeerRequest, Record<Kind, unknown>>[Kind];
 
-/** Answers requests of other controllers, and of this process to itself. */
+/** Handles requests from other controllers, and those that this process sends to itself. */
 export class PeerRequestHandler {
   constructor(private readonly targets: PeerRequestTargets) {}
 
-  /** Answers one request. A kind that this version does not know gets an empty reply. */
+  /** Handles one request. The reply is empty if this version does not know the kind of request. */
   async handle(request: PeerRequest): Promise<PeerReply> {
     if ("summary" in request) return this.handleSummary(request.summary);
     if ("linkStatus" in request) return this.handleLinkStatus();
@@ -100,7 +100,8 @@
   }
 
   private handleMisroutedHeartbeat({ shard, receivedBy }: BodyOf<"misroutedHeartbeat">): PeerReply {
-    // One worker alone is weak evidence; if none reaches this node any more, the shard is better owned where they go.
+    // A single misrouted worker is weak evidence. If no worker reaches this node any more, the shard is handed over to
+    // the node that received the heartbeat.
     if (this.targets.ownerOf(shard)?.isCutOffFromWorkers && this.targets.tryAcquireHandOver(shard))
       this.targets.membership.tell({ kind: "hand_over", shard, successor: receivedBy });
     return EMPTY_REPLY;
--- a/src/controller/record-dispatcher.ts
+++ b/src/controller/record-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Passes each batch of changed records to the parts of the controller that it concerns. */
+/** Dispatches each batch of changed records to the components that depend on them. */
 import type { JobService } from "../jobs/job-service.js";
 import type { Membership } from "../membership/membership.js";
 import { keys, prefixes } from "../state/keys.js";
@@ -9,7 +9,7 @@
 import type { MachineTypes } from "./machine-types.js";
 import type { ShardHost } from "./shard-host.js";
 
-/** The parts of the controller that are told of changed records. */
+/** The components that changed records are dispatched to. */
 export interface RecordDispatcherDependencies {
   readonly replica: Replica;
   readonly state: StateStoreClient;
@@ -24,11 +24,11 @@
   return key === keys.leader || key.startsWith(prefixes.members) || key.startsWith(prefixes.shards);
 }
 
-/** Tells the parts of the controller of changed records, in a fixed order: machines and their types before the shards. */
+/** Dispatches changed records in a fixed order: machines and their types before the shards. */
 export class RecordDispatcher {
   constructor(private readonly dependencies: RecordDispatcherDependencies) {}
 
-  /** Passes on a batch of changes; null means that the whole replica was replaced and anything may have changed. */
+  /** Dispatches a batch of changes; null means that the whole replica was replaced and any record may have changed. */
   dispatch(changes: RecordChange[] | null): void {
     const { replica, state, jobs, fleet, machineTypes, shards, membership } = this.dependencies;
     if (changes !== null) {
--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -1,4 +1,6 @@
-/** The shards that this process owns: an owner actor for each, from when the records name this process until they do not. */
+/**
+ * The shards that this process owns, with one owner actor each for as long as the records assign it to this process.
+ */
 import type { Settings } from "../config/settings.js";
 import type { LinkPolicy } from "../links/link-policy.js";
 import type { OwnedShardStatus } from "../links/remediation.js";
@@ -18,7 +20,7 @@
 import type { RecordChange, MachineType } from "../wire/index.js";
 import type { Fleet } from "../workers/fleet.js";
 
-/** What the host needs of the rest of the process. */
+/** Dependencies of the shard host. */
 export interface ShardHostDependencies {
   readonly settings: Settings;
   readonly timings: ShardOwnerTimings & RenewalGuardTimings;
@@ -39,34 +41,34 @@
 /** A shard that this process owns. */
 interface OwnedShard {
   owner: ShardOwner;
-  /** The version of the shard's record that was last found to continue the owner's term. */
+  /** The latest version of the shard's record that is known to belong to the owner's term. */
   token: number;
 }
 
-/** Makes and retires the owners of this process's shards. */
+/** Creates and retires the owner actors of this process's shards. */
 export class ShardHost {
   private readonly shards = new Map<number, OwnedShard>();
 
   constructor(private readonly dependencies: ShardHostDependencies) {}
 
-  /** The owner of a shard, if it is in this process. */
+  /** The owner of a shard; undefined if this process does not own it. */
   ownerOf(shard: number): ShardOwner | undefined {
     return this.shards.get(shard)?.owner;
   }
 
-  /** Has all owners act on the time that has passed. */
+  /** Lets all owners handle timeouts and periodic work. */
   tick(): void {
     for (const { owner } of this.shards.values()) owner.tell({ kind: "tick" });
   }
 
-  /** Passes changed records to all owners; null means that anything may have changed. */
+  /** Passes changed records to all owners; null means that any record may have changed. */
   applyChanges(changes: RecordChange[] | null): void {
     const { completeAsOf } = this.dependencies.replica;
     for (const { owner } of this.shards.values())
       owner.tell({ kind: "records_changed", changes, completeAsOf });
   }
 
-  /** From how many workers heartbeats are expected here, by shard. */
+  /** The state of each owned shard, with the number of workers that heartbeats are expected from. */
   statuses(): OwnedShardStatus[] {
     return Array.from(this.shards, ([shard, { owner, token }]) => ({
       shard,
@@ -75,7 +77,9 @@
     }));
   }
 
-  /** Starts owners for shards that the records now assign to this process, and retires those of all others. */
+  /**
+   * Starts owners for shards that the records now assign to this process, and retires the owners of all other shards.
+   */
   reconcileOwnership(): void {
     const { cluster } = this.dependencies.membership;
     cluster.shards.forEach((record, shard) => {
@@ -98,14 +102,14 @@
   private retireOwner(shard: number, owned: OwnedShard, nextOwner: string | undefined): void {
     this.shards.delete(shard);
     owned.owner.retire();
-    this.dependencies.log.info({ shard, owner: nextOwner }, "shard lost");
+    this.dependencies.log.info({ shard, owner: nextOwner }, "shard ownership lost");
   }
 
   private startOwner(shard: number, token: number): void {
     const { replica, clock, log } = this.dependencies;
     this.shards.set(shard, this.makeOwnedShard(shard, token));
     const viewAgeMs = Math.round(clock() - replica.completeAsOf);
-    log.info({ shard, token, revision: replica.revision, viewAgeMs }, "shard owned");
+    log.info({ shard, token, revision: replica.revision, viewAgeMs }, "shard ownership acquired");
   }
 
   private makeOwnedShard(id: number, token: number): OwnedShard {
@@ -148,7 +152,7 @@
     };
   }
 
-  /** The authority over a shard; the token counts only for the owner whose term it belongs to. */
+  /** The authority over a shard, which is valid only for the owner whose term the current token belongs to. */
   private authorityOf(shard: number, owned: OwnedShard): ShardAuthority {
     const current = this.dependencies.membership.authority(shard);
     if (!current.held) return current;
--- a/src/controller/summary-exchange.ts
+++ b/src/controller/summary-exchange.ts
@@ -1,4 +1,4 @@
-/** Sends shard summaries to the leader, and keeps the loads of all shards that come back from it. */
+/** Sends shard summaries to the leader, and stores the loads of all shards that it returns. */
 import { toDemandRecord } from "../autoscaling/demand-record.js";
 import type { ShardAssignment } from "../jobs/shard-assignment.js";
 import type { PeerReply, PeerRequest, ShardLoadReport, ShardSummary } from "../peers/peer-messages.js";
@@ -7,44 +7,44 @@
 import type { StateStoreClient } from "../state/state-store-client.js";
 import { keys } from "../state/keys.js";
 
-/** What the exchange needs of the rest of the process. */
+/** Dependencies of the summary exchange. */
 export interface SummaryExchangeDependencies {
   readonly assignment: ShardAssignment;
   readonly state: StateStoreClient;
-  /** The name of the leader, or null where none is known. */
+  /** The name of the leader, or null if none is known. */
   readonly leader: () => string | null;
   readonly requestController: (node: string | null, request: PeerRequest) => Promise<PeerReply>;
   readonly clock: SteadyClock;
   readonly log: Logger;
-  /** The time between two reconciliation passes, in milliseconds. */
+  /** Minimum time between two reconciliation passes of the autoscaler, in milliseconds. */
   readonly passSpacingMs: number;
-  /** The largest value that a record may have, in bytes. */
+  /** Maximum size of a record's value, in bytes. */
   readonly valueBytes: number;
-  /** How long a summary may wait until it is sent to the state service, in milliseconds. */
+  /** How long a summary may be queued before it is sent to the state store, in milliseconds. */
   readonly queueTimeoutMs: number;
 }
 
-/** A summary is written to the records at most once in so many reconciliation passes. */
+/** Minimum time between two writes of one shard's summary to the records, in reconciliation passes. */
 const PASSES_BETWEEN_STORED_SUMMARIES = 2;
 
-/** Keeps the load of each shard as far as this node knows it. */
+/** Stores the last known load of each shard. */
 export class SummaryExchange {
-  /** When a shard's summary was last written to the records; steady time. */
+  /** By shard: when its summary was last written to the records; steady time in milliseconds. */
   private readonly storedAt = new Map<number, number>();
-  /** The last known load of each shard. */
+  /** The last known loads, by shard. */
   private readonly loads = new Map<number, ShardLoadReport>();
 
   constructor(private readonly dependencies: SummaryExchangeDependencies) {}
 
-  /** Records a summary as the leader; returns the loads of all shards where jobs are assigned by load. */
+  /** Records a summary as the leader; returns the loads of all shards if jobs are assigned by load, otherwise none. */
   receive(summary: ShardSummary): ShardLoadReport[] {
     this.record(summary);
     return this.dependencies.assignment.balancesByLoad ? [...this.loads.values()] : [];
   }
 
   /**
-   * Sends a summary to the leader, which scales by it and replies with the loads of the other shards. Only the leader gets
-   * it: messages from each node to each other node would add up.
+   * Sends a summary to the leader, which uses it for autoscaling and replies with the loads of all shards. It is sent
+   * only to the leader, since the number of messages between all pairs of nodes would grow quadratically.
    */
   send(summary: ShardSummary): void {
     this.record(summary);
@@ -58,7 +58,7 @@
       });
   }
 
-  /** Writes the summary where the leader does not reply: it may still read the records. */
+  /** Writes a summary to the records after the leader did not respond, since it may still be able to read them. */
   private storeSummary(summary: ShardSummary): void {
     const now = this.dependencies.clock();
     const { shard, token } = summary;
@@ -80,7 +80,7 @@
         this.dependencies.queueTimeoutMs,
       )
       .catch((err: unknown) => {
-        this.dependencies.log.debug({ shard, err }, "shard summary not written to the records");
+        this.dependencies.log.debug({ shard, err }, "failed to write the shard summary to the records");
       });
   }
 
--- a/src/runtime/actor.ts
+++ b/src/runtime/actor.ts
@@ -1,14 +1,14 @@
 /**
- * An actor: it owns its state, and the only way in is a message. It is a Writable stream in object mode, so that streams
- * can be piped into it and a sender can see from `writableNeedDrain` that it is behind.
+ * The base class of actors, whose state is changed only by the messages that they receive. An actor is a Writable
+ * stream in object mode: streams can be piped into it, and `writableNeedDrain` tells senders that its mailbox is full.
  */
 import { Writable } from "node:stream";
 import type { Logger } from "pino";
 
-/** The most messages that wait in a mailbox before senders should hold back. */
+/** Number of queued messages at which a mailbox counts as full and senders should hold back. */
 const MAILBOX_SIZE = 1024;
 
-/** The base of all actors: a mailbox, from which one message is received at a time. */
+/** An actor with a mailbox, whose messages are processed one at a time in the order of arrival. */
 export abstract class Actor<Message> extends Writable {
   constructor(
     protected readonly log: Logger,
@@ -17,12 +17,12 @@
     super({ objectMode: true, highWaterMark: mailboxSize });
   }
 
-  /** Puts a message into the mailbox. False means that the mailbox is full, and that the sender should hold back. */
+  /** Enqueues a message. Returns false if the mailbox is full and the sender should hold back. */
   tell(message: Message): boolean {
     return this.write(message);
   }
 
-  /** Sends a message that carries a reply callback, and resolves to what the actor passes to it. */
+  /** Sends a message with a reply callback, and resolves to the value that the actor passes to the callback. */
   ask<Reply>(buildMessage: (reply: (result: Reply) => void) => Message): Promise<Reply> {
     return new Promise((resolve) => this.tell(buildMessage(resolve)));
   }
@@ -30,14 +30,14 @@
   /** Handles one message. */
   protected abstract receive(message: Message): void;
 
-  /** Processes one message; called by the stream, one message at a time. */
+  /** Called by the stream for one message at a time; errors are logged. */
   override _write(message: Message, _encoding: string, done: () => void): void {
     try {
       this.receive(message);
     } catch (err) {
-      // One bad message must not end the actor: its state is still right, since decisions are made on copies or checked
-      // before they change anything.
-      this.log.error({ err }, "message failed");
+      // An error in one message must not end the actor. Its state stays consistent, since decisions are made on copies
+      // or validated before they change anything.
+      this.log.error({ err }, "error while processing an actor message");
     }
     done();
   }
--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,6 +1,12 @@
-/** The steady clock, which all timeouts, leases and ages are measured with; the time of day is only for people. */
+/**
+ * The steady (monotonic) clock, which measures all timeouts, leases and ages; wall-clock time is only used for times
+ * that users see.
+ */
 
-/** Returns the milliseconds since some fixed moment. It never goes back, and setting the time of day does not change it. */
+/**
+ * Returns the milliseconds since a fixed point in time. It never decreases and is unaffected by changes of the wall
+ * clock.
+ */
 export type SteadyClock = () => number;
 
 /** The steady clock of this process. */
--- a/src/runtime/http-body.ts
+++ b/src/runtime/http-body.ts
@@ -1,23 +1,23 @@
-/** Reads the bodies of HTTP messages, up to a limit. */
+/** Reads and parses the bodies of HTTP messages, up to a size limit. */
 import type { IncomingMessage } from "node:http";
 
-/** A body is longer than its reader allows. */
+/** Thrown if a body is longer than the limit. */
 export class BodyTooLargeError extends Error {
   override readonly name = "BodyTooLargeError";
 
   constructor(
-    /** The most bytes that the reader allows. */
+    /** The maximum length of the body, in bytes. */
     readonly limitBytes: number,
   ) {
-    super(`body over ${limitBytes} bytes`);
+    super(`body exceeds ${limitBytes} bytes`);
   }
 }
 
 /**
- * Reads a body as UTF-8 text. It reads by events: an async iterator over a small body costs more than all else that is
- * done with it.
+ * Reads a body as UTF-8 text. Uses events rather than an async iterator, which for a small body costs more than all
+ * other processing of it.
  * @throws BodyTooLargeError if the body is longer than the limit; the rest of it is left unread
- * @throws Error if the connection fails or closes within the body
+ * @throws Error if the connection fails or closes before the end of the body
  */
 export function readBodyText(message: IncomingMessage, limitBytes: number): Promise<string> {
   return new Promise((resolve, reject) => {
@@ -34,12 +34,12 @@
     });
     message.once("error", reject);
     message.once("close", () => {
-      reject(new Error("connection closed within a body"));
+      reject(new Error("connection closed before the end of the body"));
     });
   });
 }
 
-/** The value of a JSON text; undefined if the text is not JSON. */
+/** Parses JSON; returns undefined if the text is not valid JSON. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/runtime/json-client.ts
+++ b/src/runtime/json-client.ts
@@ -1,15 +1,15 @@
-/** A client for JSON over HTTP/1.1: connections are kept, every call has a timeout, and the size of answers is limited. */
+/** A client for JSON over HTTP/1.1 with persistent connections, a timeout for each call and a response size limit. */
 import { Agent, request, type RequestOptions } from "node:http";
 import { parseJson, readBodyText } from "./http-body.js";
 
-/** The status and the parsed body of an answer. */
+/** The status and the parsed body of a response. */
 export interface JsonResponse {
   status: number;
-  /** Undefined if the body is not JSON. */
+  /** Undefined if the body is not valid JSON. */
   body: unknown;
 }
 
-/** No usable answer came: the request may have been executed, or may yet be. */
+/** Thrown if no complete response was received: the request may have been executed, or may still be. */
 export class NoResponseError extends Error {
   override readonly name = "NoResponseError";
 
@@ -23,24 +23,27 @@
   }
 }
 
-/** JSON calls to one service. */
+/** A client for one service. */
 export interface JsonClient {
   /**
-   * Sends a request; a body of undefined is not sent.
-   * @throws NoResponseError if no complete answer comes within the timeout
+   * Sends a request, without a body if `body` is undefined.
+   * @throws NoResponseError if no complete response arrives within the timeout
    */
   call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse>;
 }
 
 const MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
-/** JSON calls to one address over connections that are kept. */
+/** A client for one address that uses a pool of persistent connections. */
 export class HttpJsonClient implements JsonClient {
   private readonly agent: Agent;
   private readonly host: string;
   private readonly port: number;
 
-  /** @param maxSockets the most connections at once; further calls wait for one */
+  /**
+   * @param address host:port
+   * @param maxSockets the maximum number of concurrent connections; further calls wait for a free one
+   */
   constructor(address: string, maxSockets: number) {
     const colon = address.lastIndexOf(":");
     this.host = address.slice(0, colon);
--- a/src/runtime/listen.ts
+++ b/src/runtime/listen.ts
@@ -1,11 +1,11 @@
-/** Starts servers so that errors of single connections do not end the process. */
+/** Starts servers in such a way that later server errors do not terminate the process. */
 import type { AddressInfo, Server } from "node:net";
 import type { Logger } from "./log.js";
 
 /**
- * Starts to listen at an address (`host:port`), and resolves to the port. Later errors of the server are logged. Guards
- * against a process that ends because it is out of sockets for the moment: without a listener, such an error is thrown.
- * @throws Error if the address cannot be listened at
+ * Starts listening on an address (`host:port`), and resolves to the port. Later errors of the server are logged:
+ * without a listener for them, a temporary lack of sockets would terminate the process.
+ * @throws Error if the server cannot listen on the address
  */
 export function listenOn(server: Server, address: string, log: Logger): Promise<number> {
   const colon = address.lastIndexOf(":");
--- a/src/runtime/rate-limiter.ts
+++ b/src/runtime/rate-limiter.ts
@@ -1,14 +1,14 @@
 /**
- * A rate limit for requests of several priorities: a token bucket with a queue for each priority. Higher priorities go
- * first, and lower ones leave a reserve of the bucket to them, so that no request waits for less important ones. A request
- * that would wait past its queue timeout is refused at once.
+ * A rate limiter for requests of several priorities: a token bucket with one queue per priority. Requests of higher
+ * priority are admitted first, and those of lower priority leave a reserve of tokens for them, so that no request waits
+ * for one of lower priority. A request that would have to wait longer than its queue timeout is refused immediately.
  */
 import type { SteadyClock } from "./clock.js";
 
-/** Fewer missing tokens than this are a rounding error. */
+/** A deficit of at most this many tokens is treated as a rounding error. */
 const TOKEN_EPSILON = 1e-6;
 
-/** A priority, and the part of the burst, from 0 to 1, that its requests leave to those of higher priorities. */
+/** A priority, and the fraction of the burst, from 0 to 1, that its requests leave for those of higher priorities. */
 export interface PriorityReserve<Priority extends string> {
   readonly priority: Priority;
   readonly reserve: number;
@@ -22,12 +22,12 @@
 
 interface PriorityQueue<Priority extends string> {
   priority: Priority;
-  /** How many tokens its requests leave in the bucket. */
+  /** Number of tokens that its requests leave in the bucket. */
   reservedTokens: number;
   requests: QueuedRequest[];
 }
 
-/** A token bucket with priorities and queue timeouts: it is full at first. */
+/** A token bucket with priorities and queue timeouts. It is full initially. */
 export class RateLimiter<Priority extends string> {
   private tokens: number;
   private refilledAt: number;
@@ -37,7 +37,7 @@
 
   constructor(
     private tokensPerSecond: number,
-    /** The most tokens that the bucket holds. */
+    /** Capacity of the bucket, in tokens. */
     private readonly burst: number,
     private readonly clock: SteadyClock,
     /** From the highest priority to the lowest. */
@@ -52,18 +52,21 @@
     }));
   }
 
-  /** The rate at which the bucket is filled, in tokens per second; requests in the queues keep their timers. */
+  /** Sets the refill rate, in tokens per second. A timer that is already set for queued requests is not changed. */
   set rate(tokensPerSecond: number) {
     this.refill();
     this.tokensPerSecond = tokensPerSecond;
   }
 
-  /** The refill rate, in units of cost per second. */
+  /** The refill rate, in tokens per second. */
   get rate(): number {
     return this.tokensPerSecond;
   }
 
-  /** Waits for so many tokens and takes them; false, at once, if that would take longer than the queue timeout. */
+  /**
+   * Waits until the request is admitted, takes `cost` tokens and resolves to true. Resolves to false immediately if the
+   * wait would exceed the queue timeout.
+   */
   acquire(cost: number, priority: Priority, queueTimeoutMs = Infinity): Promise<boolean> {
     this.refill();
     const index = this.queues.findIndex((candidate) => candidate.priority === priority);
@@ -81,7 +84,9 @@
     });
   }
 
-  /** The cost of all requests that go before a new one of the queue with this index. */
+  /**
+   * The total cost of all queued requests that are admitted before a new request of the queue with index `lastIndex`.
+   */
   private queuedCost(lastIndex: number): number {
     let cost = 0;
     for (const { requests } of this.queues.slice(0, lastIndex + 1))
@@ -89,7 +94,10 @@
     return cost;
   }
 
-  /** A request that costs more than the bucket holds is admitted when the bucket is full, and later ones wait for it. */
+  /**
+   * Number of tokens in the bucket at which a request is admitted. A request that costs more than the capacity is
+   * admitted when the bucket is full; it leaves a deficit, which later requests wait for.
+   */
   private requiredTokens(cost: number, { reservedTokens }: PriorityQueue<Priority>): number {
     return Math.min(cost + reservedTokens, this.burst);
   }
@@ -98,14 +106,14 @@
     return (tokens / this.tokensPerSecond) * 1000;
   }
 
-  /** Admits requests as long as there are tokens, and sets the timer for the next one. */
+  /** Admits queued requests while there are enough tokens, and sets a timer for the next request. */
   private drain(): void {
     this.refill();
     for (const queue of this.queues) {
       const { requests } = queue;
       for (let next = requests[0]; next !== undefined; next = requests[0]) {
         const missing = this.requiredTokens(next.cost, queue) - this.tokens;
-        // Guards against a timer for a remainder that is too small to be measured.
+        // Without the tolerance, a timer could be set for a remainder that is too small to be measured.
         if (missing > TOKEN_EPSILON) {
           this.drainAfter(this.refillTimeMs(missing));
           return;
--- a/src/runtime/sleep.ts
+++ b/src/runtime/sleep.ts
@@ -1,7 +1,7 @@
-/** Pauses. */
+/** Delays and their jitter. */
 
-/** Resolves after so many milliseconds. */
+/** Resolves after `ms` milliseconds. */
 export const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** A random duration within a quarter of the given one, so that nodes that failed together do not retry together. */
+/** Varies a duration randomly by up to 25% either way, so that nodes that failed together do not retry together. */
 export const jittered = (ms: number): number => ms * (0.75 + Math.random() * 0.5);
--- a/src/runtime/token-bucket.ts
+++ b/src/runtime/token-bucket.ts
@@ -1,14 +1,14 @@
-/** A token bucket for calls that are skipped, rather than queued, while the rate is used up. */
+/** A token bucket for calls that are skipped instead of queued when the rate limit is reached. */
 import type { SteadyClock } from "./clock.js";
 
-/** A token bucket without a queue: it is full at first. */
+/** A token bucket without a queue. It is full initially. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt: number;
 
   constructor(
     private readonly tokensPerSecond: number,
-    /** The most tokens that the bucket holds. */
+    /** Capacity of the bucket, in tokens. */
     private readonly burst: number,
     private readonly clock: SteadyClock,
   ) {
@@ -16,7 +16,7 @@
     this.refilledAt = clock();
   }
 
-  /** Takes so many tokens if the bucket holds them; otherwise takes none and returns false. */
+  /** Takes `cost` tokens if the bucket holds that many; otherwise takes none and returns false. */
   tryAcquire(cost: number): boolean {
     this.refill();
     if (this.tokens < cost) return false;
