--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -167,7 +167,7 @@
       replica: this.replica,
       fleet: this.fleet,
       membership: this.membership,
-      links: this.links.policy,
+      linkPolicy: this.links.policy,
       machineTypes: () => this.machineTypes.byName,
       sendSummary: (summary) => {
         this.summaries.send(summary);
@@ -268,7 +268,7 @@
     return new PeerRequestHandler({
       autoscaler: this.autoscaler,
       membership: this.membership,
-      users: this.jobRequests,
+      userRequestHandler: this.jobRequests,
       ownerOf: (shard) => this.shards.ownerOf(shard),
       tryAcquireHandOver: (shard) => this.links.policy.tryHandOver(shard),
       linkStatus: () => this.links.status(),
--- a/src/controller/controller.ts
+++ b/src/controller/controller.ts
@@ -41,7 +41,7 @@
   get httpDependencies(): HttpDependencies {
     const { links, heartbeatRouter, health, metrics, requestForwarder } = this.parts;
     return {
-      users: links.observeUsers(requestForwarder),
+      users: links.observeUserRequests(requestForwarder),
       routeHeartbeat: (heartbeat) => heartbeatRouter.route(heartbeat),
       isHealthy: () => {
         links.recordUserRequest();
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -34,7 +34,7 @@
 }
 
 /** The components that the monitor queries and sends messages to; they are created after it. */
-export interface MonitoredActors {
+export interface MonitoredComponents {
   membership: Membership;
   shards: ShardHost;
   cloud: CloudClient;
@@ -45,7 +45,7 @@
 export class LinkMonitoring {
   private readonly node: string;
   private readonly monitor: LinkMonitor | null;
-  private actors: MonitoredActors | null = null;
+  private components: MonitoredComponents | null = null;
 
   constructor(dependencies: LinkMonitoringDependencies) {
     this.node = dependencies.settings.node;
@@ -62,9 +62,9 @@
   }
 
   /** Connects the monitor to the other components; called once, when they have been created. */
-  attach(actors: MonitoredActors): void {
-    this.actors = actors;
-    if (this.monitor !== null) actors.peers.viewExchange = this.monitor;
+  attach(components: MonitoredComponents): void {
+    this.components = components;
+    if (this.monitor !== null) components.peers.viewExchange = this.monitor;
   }
 
   /** Wraps the clients so that the monitor observes their calls; returns them unchanged if the monitor is off. */
@@ -84,12 +84,12 @@
   }
 
   /** Wraps a handler so that the monitor observes its requests; returns it unchanged if the monitor is off. */
-  observeUsers(users: UserRequestHandler): UserRequestHandler {
-    if (this.monitor === null) return users;
+  observeUserRequests(handler: UserRequestHandler): UserRequestHandler {
+    if (this.monitor === null) return handler;
     return {
       handle: (request) => {
         this.recordUserRequest();
-        return users.handle(request);
+        return handler.handle(request);
       },
     };
   }
@@ -105,7 +105,7 @@
   recordHeartbeat(shard: number, token: number): void {
     if (this.monitor === null) return;
     this.sink({ kind: "delivered", link: "workers", direction: "inbound" });
-    if (token === this.actors?.membership.token(shard))
+    if (token === this.components?.membership.token(shard))
       this.sink({ kind: "delivered", link: "workers", direction: "outbound" });
   }
 
@@ -130,25 +130,25 @@
 
   private monitorCallbacks(): LinkMonitorCallbacks {
     return {
-      ownedShards: () => this.actors?.shards.statuses() ?? [],
-      isLeader: () => this.actors !== null && this.actors.membership.leaderVersion() !== null,
-      isMember: (node) => this.actors?.membership.cluster.members.has(node) ?? false,
+      ownedShards: () => this.components?.shards.statuses() ?? [],
+      isLeader: () => this.components !== null && this.components.membership.leaderVersion() !== null,
+      isMember: (node) => this.components?.membership.cluster.members.has(node) ?? false,
       probe: (link) => {
         this.probe(link);
       },
       handOver: (shard, successor) => {
-        this.actors?.membership.tell({ kind: "hand_over", shard, successor });
+        this.components?.membership.tell({ kind: "hand_over", shard, successor });
       },
       resign: () => {
-        this.actors?.membership.tell({ kind: "resign" });
+        this.components?.membership.tell({ kind: "resign" });
       },
     };
   }
 
   /** Probes a link with an ordinary call, whose outcome is observed like that of any other call. */
   private probe(link: LinkName): void {
-    if (this.actors === null) return;
-    const { cloud, peers } = this.actors;
+    if (this.components === null) return;
+    const { cloud, peers } = this.components;
     if (link === "cloud" && cloud.tryAcquireCall()) cloud.listMachineTypes().catch(() => undefined);
     const peer = /^peer:(.+)$/.exec(link)?.[1];
     if (peer !== undefined) peers.request(peer, { ping: {} }).catch(() => undefined);
--- a/src/controller/peer-request-handler.ts
+++ b/src/controller/peer-request-handler.ts
@@ -14,7 +14,7 @@
 export interface PeerRequestTargets {
   readonly autoscaler: Autoscaler;
   readonly membership: Membership;
-  readonly users: UserRequestHandler;
+  readonly userRequestHandler: UserRequestHandler;
   /** The owner of a shard; undefined if this process does not own it. */
   readonly ownerOf: (shard: number) => ShardOwner | undefined;
   /** Whether a shard may be handed over so that its workers can reach its owner; each call counts as an attempt. */
@@ -61,7 +61,7 @@
   }
 
   private async handleForward({ method, path, body }: BodyOf<"forwardUserRequest">): Promise<PeerReply> {
-    const response = await this.targets.users.handle({ method, path, body: parseJson(body) });
+    const response = await this.targets.userRequestHandler.handle({ method, path, body: parseJson(body) });
     return { userResponse: { status: response.status, body: JSON.stringify(response.body) } };
   }
 
--- a/src/controller/shard-host.ts
+++ b/src/controller/shard-host.ts
@@ -29,7 +29,7 @@
   readonly replica: Replica;
   readonly fleet: Fleet;
   readonly membership: Membership;
-  readonly links: LinkPolicy;
+  readonly linkPolicy: LinkPolicy;
   /** The machine types in the records, by name. */
   readonly machineTypes: () => Map<string, MachineType>;
   /** Sends the summary of a shard to the leader. */
@@ -140,15 +140,15 @@
   }
 
   private ownerCallbacks(shard: number, ownedShard: () => OwnedShard): ShardOwnerCallbacks {
-    const { membership, links, sendSummary } = this.dependencies;
+    const { membership, linkPolicy, sendSummary } = this.dependencies;
     return {
       authority: () => this.authorityOf(shard, ownedShard()),
       advanceToken: () => {
         membership.tell({ kind: "advance_token", shard });
       },
       sendSummary,
-      canPlaceTasks: () => links.allows("start"),
-      canRemoveMachines: () => links.allows("return"),
+      canPlaceTasks: () => linkPolicy.allows("start"),
+      canRemoveMachines: () => linkPolicy.allows("return"),
     };
   }
 
