--- a/src/autoscaling/autoscaler.ts
+++ b/src/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** The actor that scales while this process leads: it collects the owners' summaries and starts passes. */
+/** The autoscaling actor: collects shard summaries from the owners and starts reconciliation passes on the leader. */
 import { CloudError } from "../cloud/cloud-error.js";
 import type { ShardSummary } from "../peers/peer-messages.js";
 import { Actor } from "../runtime/actor.js";
@@ -7,18 +7,18 @@
 import type { AutoscalerDependencies } from "./autoscaler-dependencies.js";
 import { Reconciler } from "./reconciler.js";
 
-/** What the autoscaler is told. */
+/** Messages that the autoscaler receives; `unknown_machine` is a heartbeat from a machine that has no record. */
 export type AutoscalerMessage =
   | { kind: "summary"; summary: ShardSummary; reply: (accepted: boolean) => void }
   | { kind: "unknown_machine"; heartbeat: Heartbeat }
   | { kind: "tick" }
   | { kind: "pass_done" };
 
-/** Starts reconciliation passes while this process leads; does nothing while it does not. */
+/** Starts reconciliation passes at the configured spacing, one at a time, while this process is the leader. */
 export class Autoscaler extends Actor<AutoscalerMessage> {
   private readonly reconciler: Reconciler;
   private isLeading = false;
-  private passRunning = false;
+  private isPassRunning = false;
   private lastPassAt = -Infinity;
 
   constructor(private readonly dependencies: AutoscalerDependencies) {
@@ -31,7 +31,7 @@
     switch (message.kind) {
       case "summary":
         this.reconciler.summaries.add(message.summary, clock());
-        message.reply(callbacks.leadership() !== null);
+        message.reply(callbacks.leaderVersion() !== null);
         return;
       case "unknown_machine":
         this.reconciler.registration.receiveHeartbeat(message.heartbeat);
@@ -40,7 +40,7 @@
         this.startPass();
         return;
       case "pass_done":
-        this.passRunning = false;
+        this.isPassRunning = false;
         return;
     }
   }
@@ -48,7 +48,7 @@
   private startPass(): void {
     const { clock, callbacks, operator } = this.dependencies;
     const now = clock();
-    const leaderVersion = callbacks.leadership();
+    const leaderVersion = callbacks.leaderVersion();
     if (leaderVersion === null) {
       this.isLeading = false;
       this.reconciler.endTerm();
@@ -56,8 +56,8 @@
     }
     if (!this.isLeading) this.reconciler.beginTerm(now);
     this.isLeading = true;
-    if (this.passRunning || now - this.lastPassAt < operator.passSpacingMs) return;
-    this.passRunning = true;
+    if (this.isPassRunning || now - this.lastPassAt < operator.passSpacingMs) return;
+    this.isPassRunning = true;
     this.lastPassAt = now;
     this.reconciler
       .reconcile(leaderVersion, now)
--- a/src/controller/composition.ts
+++ b/src/controller/composition.ts
@@ -187,9 +187,9 @@
       fleet: this.fleet,
       clock: this.dependencies.clock,
       callbacks: {
-        leadership: () => this.membership.leaderVersion(),
+        leaderVersion: () => this.membership.leaderVersion(),
         requestOwner: (shard, request) => this.controllerRequests.sendToOwner(shard, request),
-        mayCallCloud: () => this.links.policy.allows("order"),
+        canCallCloud: () => this.links.policy.allows("order"),
       },
       log: this.log,
     });
@@ -224,12 +224,12 @@
 
   private makeRequestForwarder(): RequestForwarder {
     return new RequestForwarder({
-      own: this.jobRequests,
+      localHandler: this.jobRequests,
       peers: this.settings.peers.map(({ node }) => node),
       forward: (peer, request) => this.controllerRequests.forward(peer, request),
       isBehind: () => this.health.isBehind() || !this.links.policy.allows("accept"),
-      isOutage: () => this.links.policy.refuses("accept"),
-      pauseMs: this.timings.peerTimeoutMs,
+      isClusterUnavailable: () => this.links.policy.refuses("accept"),
+      peerBackoffMs: this.timings.peerTimeoutMs,
       clock: this.dependencies.clock,
       log: this.log,
     });
--- a/src/controller/link-monitoring.ts
+++ b/src/controller/link-monitoring.ts
@@ -76,9 +76,9 @@
     const cloud = { link: "cloud" as const, isRefusal: isCloudUnavailable, sink, clock };
     return {
       clock,
-      state: new ObservedJsonClient(dependencies.state, { ...state, timed: true }),
-      watches: new ObservedJsonClient(dependencies.watches, { ...state, timed: false }),
-      cloud: new ObservedJsonClient(dependencies.cloud, { ...cloud, timed: false }),
+      state: new ObservedJsonClient(dependencies.state, { ...state, isLatencyMeaningful: true }),
+      watches: new ObservedJsonClient(dependencies.watches, { ...state, isLatencyMeaningful: false }),
+      cloud: new ObservedJsonClient(dependencies.cloud, { ...cloud, isLatencyMeaningful: false }),
       peers: new ObservedPeerNetwork(dependencies.peers, sink),
     };
   }
@@ -177,7 +177,7 @@
     // A worker without a response sends its next heartbeat to another controller after its timeout.
     misroutedWindowMs: HEARTBEAT_TIMEOUT_S * 1000 + 2 * workers.heartbeatIntervalMs,
     maxMachines,
-    usersSilentMs: MISSED_HEALTH_CHECKS_UNTIL_SILENT * HEALTH_CHECK_S * 1000,
+    usersSilenceMs: MISSED_HEALTH_CHECKS_UNTIL_SILENT * HEALTH_CHECK_S * 1000,
     clock,
   };
 }
--- a/src/links/backoff.ts
+++ b/src/links/backoff.ts
@@ -1,33 +1,39 @@
-/** Waits between moves for the same cause, each longer than the last up to a bound: no shard goes to and fro. */
+/** Exponential back-off per key. It keeps a shard from moving back and forth for the same cause. */
 
-/** Timings of a back-off, in milliseconds. */
+/** Durations of a back-off, in milliseconds. */
 export interface BackoffTimings {
-  firstMs: number;
-  boundMs: number;
+  initialMs: number;
+  maxMs: number;
 }
 
 interface Attempt {
-  at: number;
+  attemptedAt: number;
   waitMs: number;
 }
 
-/** Remembers, per key, when it may be tried again. A key that was left alone for twice its wait starts afresh. */
+/**
+ * Tracks per key when the next attempt is allowed. Each attempt doubles the wait up to `maxMs`; a key without an
+ * attempt for twice its wait plus `initialMs` starts again at `initialMs`.
+ */
 export class Backoff<Key> {
   private readonly attempts = new Map<Key, Attempt>();
 
   constructor(private readonly timings: BackoffTimings) {}
 
-  /** Whether the wait since the last attempt is over. */
-  mayTry(key: Key, now: number): boolean {
+  /** Whether the wait after the last attempt is over. */
+  canAttempt(key: Key, now: number): boolean {
     const last = this.attempts.get(key);
-    return last === undefined || now - last.at >= last.waitMs;
+    return last === undefined || now - last.attemptedAt >= last.waitMs;
   }
 
-  /** Notes an attempt, after which the next waits longer. */
+  /** Records an attempt and doubles the wait before the next one. */
   recordAttempt(key: Key, now: number): void {
     const last = this.attempts.get(key);
-    const { firstMs, boundMs } = this.timings;
-    const lapsed = last === undefined || now - last.at >= 2 * last.waitMs + firstMs;
-    this.attempts.set(key, { at: now, waitMs: lapsed ? firstMs : Math.min(boundMs, 2 * last.waitMs) });
+    const { initialMs, maxMs } = this.timings;
+    const hasExpired = last === undefined || now - last.attemptedAt >= 2 * last.waitMs + initialMs;
+    this.attempts.set(key, {
+      attemptedAt: now,
+      waitMs: hasExpired ? initialMs : Math.min(maxMs, 2 * last.waitMs),
+    });
   }
 }
--- a/src/links/link-table.ts
+++ b/src/links/link-table.ts
@@ -1,74 +1,81 @@
-/** All links of one controller with the tracks of both their directions. */
+/** All links of one controller, with a tracker for each direction. */
 import type { Diagnosis } from "./diagnosis.js";
-import { DirectionTrack, type TrackTimings } from "./direction-track.js";
+import { DirectionTracker, type TrackerTimings } from "./direction-tracker.js";
 import { DIRECTIONS, peerLink, type Direction, type LinkName, type Observation } from "./model.js";
 
 /** One direction of a link and the evidence about it. */
-export interface TrackEntry {
+export interface LinkTableEntry {
   link: LinkName;
   direction: Direction;
-  track: DirectionTrack;
-  /** When it last changed its reported state, by the steady clock. */
-  since: number;
-  /** Since when it has been failing or recovering from that; null while it works. */
+  tracker: DirectionTracker;
+  /** When the reported state last changed, by the steady clock. */
+  stateChangedAt: number;
+  /** When the direction started failing, if it is failing or recovering; null while it works. */
   failingSince: number | null;
-  /** What is reported of it, as of the last review. */
+  /** The reported state, as of the last tick. */
   diagnosis: Diagnosis;
 }
 
 const UNDIAGNOSED: Diagnosis = { state: "unknown", evidence: "no_traffic", scope: "none" };
 
-/** The tracks of all links, by link and direction. Their number is that of the controllers, not of the machines. */
+/** The trackers by link and direction. Their number depends on the number of controllers, not of machines. */
 export class LinkTable {
-  private readonly entries = new Map<string, TrackEntry>();
+  private readonly entries = new Map<string, LinkTableEntry>();
 
-  constructor(peers: Iterable<string>, timings: TrackTimings, now: number) {
+  constructor(peers: Iterable<string>, timings: TrackerTimings, now: number) {
     const links: LinkName[] = ["state", "workers", "cloud", "users", ...Array.from(peers, peerLink)];
     for (const link of links)
       for (const direction of DIRECTIONS) {
-        const track = new DirectionTrack(timings);
-        const entry = { link, direction, track, since: now, failingSince: null, diagnosis: UNDIAGNOSED };
+        const tracker = new DirectionTracker(timings);
+        const entry = {
+          link,
+          direction,
+          tracker,
+          stateChangedAt: now,
+          failingSince: null,
+          diagnosis: UNDIAGNOSED,
+        };
         this.entries.set(keyOf(link, direction), entry);
       }
   }
 
-  /** Both directions of all links. */
-  all(): IterableIterator<TrackEntry> {
+  /** Returns both directions of all links. */
+  all(): IterableIterator<LinkTableEntry> {
     return this.entries.values();
   }
 
-  /** What is reported of one direction of a link. */
+  /** Returns the reported state of one direction of a link. */
   diagnosis(link: LinkName, direction: Direction): Diagnosis {
     return this.entries.get(keyOf(link, direction))?.diagnosis ?? UNDIAGNOSED;
   }
 
-  /** Undefined for a peer that the settings do not name. */
-  track(link: LinkName, direction: Direction): DirectionTrack | undefined {
-    return this.entries.get(keyOf(link, direction))?.track;
+  /** Returns the tracker of one direction of a link; undefined for a peer that the settings do not name. */
+  tracker(link: LinkName, direction: Direction): DirectionTracker | undefined {
+    return this.entries.get(keyOf(link, direction))?.tracker;
   }
 
-  /** Brings an observation to the directions that it tells of. */
+  /** Records an observation in the trackers of the directions that it concerns. */
   observe(observation: Observation, now: number): void {
     const { link } = observation;
-    // Most observations are of reports: they need one look-up.
+    // Most observations are heartbeats, so this path takes a single look-up.
     if (observation.kind === "delivered") {
-      this.track(link, observation.direction)?.delivered(now);
+      this.tracker(link, observation.direction)?.recordDelivery(now);
       return;
     }
-    const outbound = this.track(link, "outbound");
-    const inbound = this.track(link, "inbound");
+    const outbound = this.tracker(link, "outbound");
+    const inbound = this.tracker(link, "inbound");
     switch (observation.kind) {
       case "answered":
-        outbound?.answered(now, observation.latencyMs);
-        inbound?.answered(now, observation.latencyMs);
+        outbound?.recordAnswer(now, observation.latencyMs);
+        inbound?.recordAnswer(now, observation.latencyMs);
         return;
       case "refused":
-        outbound?.failed(now, "refused");
-        inbound?.delivered(now);
+        outbound?.recordFailure(now, "refused");
+        inbound?.recordDelivery(now);
         return;
       case "unanswered":
-        outbound?.failed(now, "no_answer");
-        inbound?.failed(now, "no_answer");
+        outbound?.recordFailure(now, "no_answer");
+        inbound?.recordFailure(now, "no_answer");
         return;
     }
   }
--- a/src/links/monitor.ts
+++ b/src/links/monitor.ts
@@ -1,7 +1,7 @@
 /**
- * The actor that watches this controller's links: it collects evidence from the traffic that flows anyway and peers'
- * views, derives a state per link and direction at every tick, and says what the controller may do. The cost of a tick
- * depends on the number of links, and a heartbeat costs the same however many machines there are.
+ * The actor that monitors this controller's links. It collects evidence from regular traffic and peers' views, derives
+ * the state of each link and direction at every tick, and applies the degradation policy. The cost of a tick depends on
+ * the number of links only; the cost of a heartbeat does not depend on the number of machines.
  */
 import { Actor } from "../runtime/actor.js";
 import type { SteadyClock } from "../runtime/clock.js";
@@ -11,7 +11,7 @@
 import { diagnose } from "./diagnosis.js";
 import type { LinkPolicy } from "./link-policy.js";
 import { LinkProber } from "./link-prober.js";
-import { LinkTable, type TrackEntry } from "./link-table.js";
+import { LinkTable, type LinkTableEntry } from "./link-table.js";
 import type { ViewRejection } from "./link-view.js";
 import { MisroutedWorkers } from "./misrouted-workers.js";
 import { peerLink, type DirectionReport, type LinkName, type Observation } from "./model.js";
@@ -28,18 +28,18 @@
 /** Messages to the monitor. */
 export type LinkMonitorMessage =
   | { kind: "observed"; observation: Observation }
-  /** A worker of another controller's shard came here although it follows that controller's token. */
+  /** A worker sent a heartbeat to this controller although it holds the token of another controller's shard. */
   | { kind: "misrouted"; shard: number; term: number; host: string }
   | { kind: "tick" };
 
-/** What the monitor needs of the rest of the process. */
+/** What the monitor requires of the rest of the process. */
 export interface LinkMonitorCallbacks extends RemediationCallbacks {
   ownedShards(): OwnedShardStatus[];
-  /** Sends a probe; its outcome is observed where all calls are. */
+  /** Sends a probe. Its result is observed like that of any other call. */
   probe(link: LinkName): void;
 }
 
-/** What the monitor is made with. */
+/** Options of a `LinkMonitor`. */
 export interface LinkMonitorOptions {
   node: string;
   incarnation: string;
@@ -47,16 +47,16 @@
   peers: string[];
   mode: Exclude<MonitorMode, "off">;
   timings: LinkTimings;
-  probes: Omit<ProbeRates, "peerSpacingMs">;
-  /** How long a worker that turned elsewhere counts as misrouted. */
+  probes: Omit<ProbeRates, "minPeerIntervalMs">;
+  /** How long a worker counts as misrouted after its last misrouted heartbeat, in milliseconds. */
   misroutedWindowMs: number;
   maxMachines: number;
-  /** Without a health check for so long, the users' load balancer counts as silent; milliseconds. */
-  usersSilentMs: number;
+  /** The users' load balancer counts as silent after this time without a health check, in milliseconds. */
+  usersSilenceMs: number;
   clock: SteadyClock;
 }
 
-/** Watches the links of one controller. */
+/** Monitors the links of one controller. */
 export class LinkMonitor extends Actor<LinkMonitorMessage> implements LinkPolicy {
   private readonly stallAwareClock: StallAwareClock;
   private readonly table: LinkTable;
@@ -75,22 +75,28 @@
     log: Logger,
   ) {
     super(log);
-    const { node, incarnation, clock, timings, peers, probes, mode, usersSilentMs } = options;
-    const { viewSpacingMs } = timings;
+    const { node, incarnation, clock, timings, peers, probes, mode, usersSilenceMs } = options;
+    const { minViewIntervalMs } = timings;
     const stallAwareClock = (this.stallAwareClock = new StallAwareClock(clock, timings));
     const table = (this.table = new LinkTable(peers, timings, clock()));
     const views = (this.views = new PeerViews(new Set(peers), timings.viewTtlMs));
     const misrouted = (this.misrouted = new MisroutedWorkers(options.misroutedWindowMs, options.maxMachines));
-    const watched = { clock, stallAwareClock, table };
-    this.viewSender = new ViewSender({ ...watched, node, incarnation, misrouted, spacingMs: viewSpacingMs });
-    this.silence = new SilenceDetector({ ...watched, views, timings, usersSilentMs });
+    const sharedDependencies = { clock, stallAwareClock, table };
+    this.viewSender = new ViewSender({
+      ...sharedDependencies,
+      node,
+      incarnation,
+      misrouted,
+      minIntervalMs: minViewIntervalMs,
+    });
+    this.silence = new SilenceDetector({ ...sharedDependencies, views, timings, usersSilenceMs });
     this.degradation = new DegradationState({ table, peers, mode, log });
     this.prober = new LinkProber({
-      ...watched,
+      ...sharedDependencies,
       views,
-      budget: new ProbeBudget({ ...probes, peerSpacingMs: 2 * viewSpacingMs }, clock),
+      budget: new ProbeBudget({ ...probes, minPeerIntervalMs: 2 * minViewIntervalMs }, clock),
       peers,
-      maxViewAgeMs: 2 * viewSpacingMs,
+      maxViewAgeMs: 2 * minViewIntervalMs,
       probe: (link) => {
         callbacks.probe(link);
       },
@@ -98,39 +104,39 @@
     this.remediation = new RemediationRunner({ clock, table, views, timings, callbacks, log });
   }
 
-  private get enforces(): boolean {
+  private get isEnforcing(): boolean {
     return this.options.mode === "enforce";
   }
 
-  /** Whether the policy lets this controller do something itself now. */
+  /** Whether the policy currently lets this controller perform an activity itself. */
   allows(activity: Activity): boolean {
-    return !this.enforces || this.degradation.rules[activity].decision === "allowed";
+    return !this.isEnforcing || this.degradation.rules[activity].decision === "allowed";
   }
 
-  /** Whether the policy keeps an activity from being passed on to peers: nobody would do better. */
+  /** Whether the policy refuses an activity, so that it is not delegated to peers either. */
   refuses(activity: Activity): boolean {
-    return this.enforces && this.degradation.rules[activity].decision === "refused";
+    return this.isEnforcing && this.degradation.rules[activity].decision === "refused";
   }
 
-  /** Whether a shard may be handed over again for the sake of its workers; asking counts as an attempt. */
+  /** Whether a shard may be handed over because its workers reach a peer instead. If true, it counts as an attempt. */
   tryHandOver(shard: number): boolean {
-    return !this.enforces || this.remediation.tryHandOver(shard);
+    return !this.isEnforcing || this.remediation.tryHandOver(shard);
   }
 
-  /** Whether a peer, by its latest view, receives no heartbeats: shards are better off elsewhere. */
+  /** Whether a peer's latest view shows its workers as lost, so that it should not be assigned shards. */
   isCutOffFromWorkers(node: string): boolean {
-    if (!this.enforces) return false;
-    const view = this.views.of(node, this.options.clock());
+    if (!this.isEnforcing) return false;
+    const view = this.views.currentOf(node, this.options.clock());
     return view !== undefined && hasLostWorkers(view);
   }
 
-  /** The view to attach to a frame to a peer, if it is time for one. */
-  outgoing(node: string): Uint8Array | undefined {
-    return this.viewSender.outgoing(node);
+  /** Returns the view to attach to a frame to a peer; undefined if the last one was sent too recently. */
+  nextOutgoingView(node: string): Uint8Array | undefined {
+    return this.viewSender.nextViewFor(node);
   }
 
-  /** Takes a view that came with a frame, and returns the node that it is from; null where it is dropped. */
-  incoming(bytes: Uint8Array): string | null {
+  /** Processes a view that came with a frame. Returns the node that sent it, or null if the view is dropped. */
+  receiveView(bytes: Uint8Array): string | null {
     const result = this.views.receive(bytes, this.options.clock());
     if (!result.ok) {
       this.recordDroppedView(result.reason);
@@ -141,7 +147,7 @@
     return node;
   }
 
-  /** What operators are shown. */
+  /** Returns the status that operators see. */
   status(): LinkStatus {
     const { node, mode } = this.options;
     const { losses, rules } = this.degradation;
@@ -172,8 +178,9 @@
   private observe(observation: Observation): void {
     if (observation.kind === "delivered" && observation.link === "workers") {
       if (observation.direction === "inbound") this.silence.recordHeartbeat();
-      // A worker shows a token that it took long ago: whether responses still reach it has to show by its staying here.
-      else if (this.silence.responsesLost) return;
+      // The worker may have received its token long ago, so the token does not show that responses still reach it. That
+      // shows once the worker stays with this controller.
+      else if (this.silence.hasLostResponses) return;
     }
     this.table.observe(observation, this.stallAwareClock.now());
   }
@@ -181,17 +188,17 @@
   private tick(): void {
     this.stallAwareClock.tick();
     const shards = this.callbacks.ownedShards();
-    if (this.stallAwareClock.isDelayed) this.silence.restart();
+    if (this.stallAwareClock.isDelayed) this.silence.reset();
     else this.silence.check(shards);
     this.reviewLinks(shards);
     this.prober.probeLinks();
-    if (this.enforces) this.remediation.run(shards);
+    if (this.isEnforcing) this.remediation.run(shards);
   }
 
   private recordDroppedView(reason: ViewRejection): void {
     const count = (this.droppedViewCounts.get(reason) ?? 0) + 1;
     this.droppedViewCounts.set(reason, count);
-    // The first of a kind is worth a line; a peer that keeps sending them is seen in the status.
+    // Only the first of each reason is logged at info level; the status counts them all.
     if (count === 1) this.log.info({ reason }, "peer's view of its links dropped");
     else this.log.debug({ reason, count }, "peer's view of its links dropped");
   }
@@ -200,16 +207,16 @@
     const now = this.stallAwareClock.now();
     for (const entry of this.table.all()) {
       const before = entry.diagnosis.state;
-      entry.track.review(now);
-      if (!entry.track.inDoubt) entry.failingSince = null;
+      entry.tracker.evaluate(now);
+      if (!entry.tracker.isFailingOrRecovering) entry.failingSince = null;
       else entry.failingSince ??= this.options.clock();
-      const { link, direction, track } = entry;
+      const { link, direction, tracker } = entry;
       entry.diagnosis = diagnose({
         link,
         direction,
-        state: track.state,
-        evidence: track.evidence,
-        stalled: this.stallAwareClock.isDelayed,
+        state: tracker.state,
+        evidence: tracker.evidence,
+        isStalled: this.stallAwareClock.isDelayed,
         votes: this.votesFor(entry, shards),
       });
       if (entry.diagnosis.state !== before) this.logTransition(entry, before);
@@ -218,10 +225,10 @@
   }
 
   /**
-   * Only views from after a failure began say whether it is one for all. Peers' workers are others than ours: what counts
-   * there is whether ours turn to them.
+   * Only views received after a failure began count as votes on its scope. For the workers' link, peers' own states do
+   * not count since their workers are different ones; a peer votes `working` if workers of owned shards reach it.
    */
-  private votesFor({ link, direction, failingSince }: TrackEntry, shards: OwnedShardStatus[]): Votes {
+  private votesFor({ link, direction, failingSince }: LinkTableEntry, shards: OwnedShardStatus[]): Votes {
     const now = this.options.clock();
     if (link !== "workers") return this.views.votes(link, direction, now, failingSince ?? -Infinity);
     const reachedBy = this.views
@@ -230,18 +237,18 @@
     return { working: reachedBy.map((view) => view.node), failing: [] };
   }
 
-  private logTransition(entry: TrackEntry, from: string): void {
+  private logTransition(entry: LinkTableEntry, from: string): void {
     const { state, evidence, scope } = entry.diagnosis;
     const now = this.options.clock();
-    const afterMs = Math.round(now - entry.since);
-    entry.since = now;
+    const afterMs = Math.round(now - entry.stateChangedAt);
+    entry.stateChangedAt = now;
     const { link, direction } = entry;
     this.log.info({ link, direction, from, to: state, evidence, scope, afterMs }, "link state changed");
   }
 
-  private directionReport(entry: TrackEntry): DirectionReport {
+  private directionReport(entry: LinkTableEntry): DirectionReport {
     const { link, direction } = entry;
-    const forMs = this.options.clock() - entry.since;
+    const forMs = this.options.clock() - entry.stateChangedAt;
     return { link, direction, forMs, ...entry.diagnosis };
   }
 }
--- a/src/links/observed-json-client.ts
+++ b/src/links/observed-json-client.ts
@@ -1,56 +1,56 @@
-/** Lets the link monitor see calls that are made anyway, without changing them. */
+/** Lets the link monitor observe HTTP calls without changing them. */
 import type { SteadyClock } from "../runtime/clock.js";
 import { NoResponseError, type JsonResponse, type JsonClient } from "../runtime/json-client.js";
 import type { LinkName, ObservationSink } from "./model.js";
 
-const UNAVAILABLE = 503;
+const HTTP_UNAVAILABLE = 503;
 
-/** A time-out that fires so many times later than it should shows that this process was busy: the answer may be there. */
-const LATE_TIMEOUT = 1.25;
+/** A time-out that fires later than this multiple of it shows that this process was busy: a response may be waiting. */
+const LATE_TIMEOUT_RATIO = 1.25;
 
-/** Whether an answer says that the service will not serve. */
+/** Whether a response means that the service refused the request. */
 export type RefusalCheck = (answer: JsonResponse) => boolean;
 
-/** The state service refuses with 503 and does not execute the request. */
-export const isUnavailable: RefusalCheck = ({ status }) => status === UNAVAILABLE;
+/** The state service refuses a request with status 503 and does not execute it. */
+export const isUnavailable: RefusalCheck = ({ status }) => status === HTTP_UNAVAILABLE;
 
-/** A cloud without capacity answers with the same status as one in trouble; it works all the same. */
+/** The cloud also responds with status 503 if it has no capacity, which does not count as a refusal. */
 export const isCloudUnavailable: RefusalCheck = ({ status, body }) =>
-  status === UNAVAILABLE && (body as { error?: unknown } | undefined)?.error !== "no capacity";
+  status === HTTP_UNAVAILABLE && (body as { error?: unknown } | undefined)?.error !== "no capacity";
 
-/** What calls are watched as. */
+/** How calls are observed. */
 export interface ObservedJsonClientOptions {
   link: LinkName;
   isRefusal: RefusalCheck;
   sink: ObservationSink;
   clock: SteadyClock;
-  /** Whether the time that an answer takes says anything: watches stay open on purpose. */
-  timed: boolean;
+  /** Whether the latency of a call is reported. False for watches, for example, which stay open by design. */
+  isLatencyMeaningful: boolean;
 }
 
-/** Calls whose outcomes are reported to the monitor. */
+/** A client that reports the outcome of each call to the monitor. */
 export class ObservedJsonClient implements JsonClient {
   constructor(
-    private readonly calls: JsonClient,
+    private readonly client: JsonClient,
     private readonly options: ObservedJsonClientOptions,
   ) {}
 
   /**
-   * Makes a call and reports its outcome.
+   * Makes a call and reports whether it was answered, refused or unanswered.
    *
-   * @throws NoResponseError as the observed client does
+   * @throws NoResponseError if the observed client throws it
    */
   async call(method: string, path: string, body: unknown, timeoutMs: number): Promise<JsonResponse> {
-    const { link, isRefusal: refused, sink, clock, timed } = this.options;
+    const { link, isRefusal, sink, clock, isLatencyMeaningful } = this.options;
     const sentAt = clock();
     try {
-      const answer = await this.calls.call(method, path, body, timeoutMs);
-      if (refused(answer)) sink({ kind: "refused", link });
-      else sink({ kind: "answered", link, latencyMs: timed ? clock() - sentAt : 0 });
+      const answer = await this.client.call(method, path, body, timeoutMs);
+      if (isRefusal(answer)) sink({ kind: "refused", link });
+      else sink({ kind: "answered", link, latencyMs: isLatencyMeaningful ? clock() - sentAt : 0 });
       return answer;
     } catch (err) {
-      const wasBusy = clock() - sentAt > LATE_TIMEOUT * timeoutMs;
-      if (err instanceof NoResponseError && !wasBusy) sink({ kind: "unanswered", link });
+      const isTimeoutLate = clock() - sentAt > LATE_TIMEOUT_RATIO * timeoutMs;
+      if (err instanceof NoResponseError && !isTimeoutLate) sink({ kind: "unanswered", link });
       throw err;
     }
   }
--- a/src/peers/peer-connection.ts
+++ b/src/peers/peer-connection.ts
@@ -1,31 +1,31 @@
-/** The client side of a connection to another controller: requests out, replies back, each with a deadline. */
+/** The client side of a connection to another controller: sends requests, each with a timeout, and matches replies. */
 import { Socket } from "node:net";
 import { pipeline, Writable } from "node:stream";
 import type { Logger } from "../runtime/log.js";
-import { FrameDecoder, frameBytes } from "./framing.js";
+import { FrameDecoder, encodeLengthPrefixedFrame } from "./framing.js";
 import type { Frame, PeerReply, PeerRequest } from "./peer-messages.js";
 import { PeerUnreachableError, type LinkViewExchange } from "./peer-network.js";
 
-/** Past this many unanswered requests a peer counts as unreachable: nothing may queue without bound. */
+/** The most unanswered requests per peer; further ones fail as if the peer were unreachable, which bounds the queue. */
 const MAX_PENDING_REQUESTS = 256;
 
-/** A connection on which nothing came for so many time-outs is closed. */
-const IDLE_TIMEOUTS = 2;
+/** A connection on which nothing is received for this many request timeouts is closed. */
+const MAX_IDLE_TIMEOUTS = 2;
 
-/** Another controller, and the address at which it listens for peers. */
+/** Another controller and the address of its peer server. */
 export interface PeerAddress {
   node: string;
-  /** Host and port, with a colon between. */
+  /** `host:port`. */
   address: string;
 }
 
-/** What a connection is made from. */
+/** The peer, the settings and the services that a connection uses. */
 export interface PeerConnectionDependencies {
   readonly peer: PeerAddress;
-  /** How long to wait for a reply where a request does not say otherwise. */
+  /** How long to wait for a reply, in milliseconds, unless a request sets its own timeout. */
   readonly timeoutMs: number;
   readonly log: Logger;
-  /** Where views of links come from and go to now; null while the link monitor is off. */
+  /** The current source and destination of link views; null while the link monitor is off. */
   readonly viewExchange: () => LinkViewExchange | null;
 }
 
@@ -34,7 +34,7 @@
   readonly reject: (error: PeerUnreachableError) => void;
 }
 
-/** A connection that is made when it is needed, and made again after it was closed. */
+/** A connection that is opened by the first request, and reopened by the next request after it is closed. */
 export class PeerConnection {
   private socket: Socket | null = null;
   private nextRequestId = 1;
@@ -44,7 +44,7 @@
 
   constructor(private readonly dependencies: PeerConnectionDependencies) {}
 
-  /** When a frame last came from the peer; steady time. */
+  /** When the last frame was received from the peer, steady time in milliseconds; -Infinity if there was none. */
   get lastResponseAt(): number {
     return this.lastFrameReceivedAt;
   }
@@ -52,7 +52,8 @@
   /**
    * Sends a request and waits for its reply.
    *
-   * @throws {PeerUnreachableError} where no reply comes in time
+   * @throws {PeerUnreachableError} if no reply is received in time, the connection closes, or too many requests are
+   *   pending
    */
   request(request: PeerRequest, timeoutMs = this.dependencies.timeoutMs): Promise<PeerReply> {
     return new Promise((resolve, reject) => {
@@ -69,41 +70,42 @@
     });
   }
 
-  /** Closes the connection; pending requests fail. */
+  /** Closes the connection; all pending requests are rejected. */
   close(): void {
     this.socket?.destroy();
   }
 
   private addPendingRequest(id: number, timer: NodeJS.Timeout, { resolve, reject }: PendingRequest): void {
-    const settle = (): void => {
+    const removePending = (): void => {
       clearTimeout(timer);
       this.pendingRequests.delete(id);
     };
     this.pendingRequests.set(id, {
       resolve: (reply) => {
-        settle();
+        removePending();
         resolve(reply);
       },
       reject: (error) => {
-        settle();
+        removePending();
         reject(error);
       },
     });
   }
 
   private onTimeout(id: number): void {
-    // Whatever is still under way on a connection on which nothing comes may be held by a cut: a new one is made. A peer
-    // that is only slow keeps its connection, or it would never get to reply to anybody.
+    // A connection without any inbound data may be stuck in a network partition, so it is closed and the next request
+    // opens a new one. A peer that is merely slow keeps its connection; otherwise its late replies would never arrive.
     const idleSince = Math.max(this.lastFrameReceivedAt, this.connectedAt);
-    if (performance.now() - idleSince > IDLE_TIMEOUTS * this.dependencies.timeoutMs) this.socket?.destroy();
+    if (performance.now() - idleSince > MAX_IDLE_TIMEOUTS * this.dependencies.timeoutMs)
+      this.socket?.destroy();
     this.pendingRequests.get(id)?.reject(this.unreachable("timed_out"));
   }
 
   private send(id: number, request: PeerRequest): void {
     const { peer, viewExchange } = this.dependencies;
-    const linkView = viewExchange()?.outgoing(peer.node);
+    const linkView = viewExchange()?.nextOutgoingView(peer.node);
     const frame: Frame = { id, reply: false, body: request, ...(linkView && { linkView }) };
-    this.connectedSocket().write(frameBytes(frame));
+    this.connectedSocket().write(encodeLengthPrefixedFrame(frame));
   }
 
   private connectedSocket(): Socket {
@@ -115,22 +117,22 @@
     socket.connect(Number(address.slice(colon + 1)), address.slice(0, colon));
     this.socket = socket;
     this.connectedAt = performance.now();
-    const frames = new Writable({
+    const frameReceiver = new Writable({
       objectMode: true,
       write: (frame: Frame, _encoding, done) => {
-        this.receive(frame);
+        this.handleFrame(frame);
         done();
       },
     });
-    pipeline(socket, new FrameDecoder(), frames, (err) => {
+    pipeline(socket, new FrameDecoder(), frameReceiver, (err) => {
       this.onClosed(socket, err ?? null);
     });
     return socket;
   }
 
-  private receive(frame: Frame): void {
+  private handleFrame(frame: Frame): void {
     this.lastFrameReceivedAt = performance.now();
-    if (frame.linkView) this.dependencies.viewExchange()?.incoming(frame.linkView);
+    if (frame.linkView) this.dependencies.viewExchange()?.receiveView(frame.linkView);
     if (frame.reply) this.pendingRequests.get(frame.id)?.resolve(frame.body);
   }
 
